--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,19 +6,20 @@
 	"encoding/hex"
 )
 
-// fingerprintSize is the length of a fingerprint in bytes: so long that no caller
-// finds a request of its own with the fingerprint of another's.
+// fingerprintSize is the length of a fingerprint in bytes. It is long enough that a caller cannot
+// find a request of its own whose fingerprint collides with another caller's request.
 const fingerprintSize = 16
 
-// Fingerprint tells requests apart by what decides over how a target runs them. The
-// same caller's repetitions of a request have the same one.
+// Fingerprint identifies a request by the fields that determine how a target processes it.
+// Repetitions of a request by the same caller have the same fingerprint.
 type Fingerprint [fingerprintSize]byte
 
-// String returns the fingerprint as logs show it.
+// String returns the fingerprint in hexadecimal, as it is logged.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Request is what a fingerprint is taken of. Caller names who sent it, so that nobody
-// puts another's requests into quarantine; callers without a key are one caller.
+// Request holds the fields that a fingerprint is computed from. Caller identifies the sender, so
+// that one caller cannot put another caller's requests into quarantine; all callers without a key
+// count as one caller.
 type Request struct {
 	Caller, Method, Host, URI string
 	Body                      []byte
@@ -28,10 +29,10 @@
 func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{r.Caller, r.Method, r.Host, r.URI} {
-		// With its length, a field can't run on into the next.
+		// The length prefix keeps a field from running into the next one.
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
-		_, _ = h.Write(size[:]) // a hash takes everything
+		_, _ = h.Write(size[:]) // hash.Hash.Write never returns an error
 		_, _ = h.Write([]byte(field))
 	}
 	_, _ = h.Write(r.Body)
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Only the same caller's same request has the same fingerprint.
+// The same request has the same fingerprint. A change of any field, or a shifted boundary between
+// two fields, changes the fingerprint.
 func TestFingerprint(t *testing.T) {
 	base := Request{Caller: "team", Method: "POST", Host: "site.example", URI: "/draft/1?x=2", Body: []byte("body")}
 	change := func(f func(*Request)) Request {
--- a/quarantine/gossip/gossip.go
+++ b/quarantine/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip tells the nodes of the callers' own interface which requests targets
-// end under. Nodes that route by a platform's catalog tell it with their heartbeats.
+// Package gossip propagates quarantine records between the nodes that serve the callers' own
+// interface (package gateway). Nodes that route by a platform's catalog (package router) propagate
+// them with their heartbeats instead.
 package gossip
 
 import (
@@ -22,51 +23,51 @@
 // ServiceID is the kernel name of the Service.
 const ServiceID kernel.ID = "quarantine.gossip"
 
-// method is the notification that brings records.
+// method is the name of the notification that carries records.
 const method = "quarantine.told"
 
 const (
-	// interval is the time between two tellings: news are told three times by each
-	// node that has them.
+	// interval is the time between two rounds: each node that has a change sends it in three
+	// rounds.
 	interval = 300 * time.Millisecond
-	// fanout is the number of nodes told at a time. Each tells others in turn, so that
-	// all of 370 know after three or four intervals.
+	// fanout is the number of nodes that a round sends to. Each of them sends to others in turn,
+	// so that all of 370 nodes have the records after three or four intervals.
 	fanout = 8
-	// sendTimeout bounds a telling; another follows.
+	// sendTimeout bounds one send; the next round repeats it.
 	sendTimeout = time.Second
 )
 
-// message is what a node tells.
+// message is the body of the notification.
 type message struct {
-	// Records are in CBOR, as in the heartbeats.
+	// Records are encoded in CBOR, as in the heartbeats.
 	Records []byte `json:"r"`
 }
 
-// Network sends notifications to nodes.
+// Network sends notifications to nodes and registers their handlers.
 type Network interface {
 	Notify(ctx context.Context, addr, method string, params any) error
 	Handle(method string, f peer.Handler)
 }
 
-// Service tells other nodes what the guard knows. It sends nothing while that is nothing.
+// Service propagates the guard's records to other nodes. It sends nothing while there are none.
 type Service struct {
 	guard   *quarantine.Guard
 	network Network
 	members membership.Source
 	log     *log.Logger
-	news    chan struct{}
-	// spawn runs a call beside others.
+	changes chan struct{}
+	// spawn runs a function concurrently; tests run it synchronously.
 	spawn func(func())
 }
 
-// New returns a service that tells what g knows to the members over n.
+// New returns a service that propagates the records of g to the members over n.
 func New(g *quarantine.Guard, n Network, m membership.Source, l *log.Logger) *Service {
-	s := &Service{guard: g, network: n, members: m, log: l, news: make(chan struct{}, 1), spawn: func(f func()) { go f() }}
+	s := &Service{guard: g, network: n, members: m, log: l, changes: make(chan struct{}, 1), spawn: func(f func()) { go f() }}
 	n.Handle(method, s.receive)
 	g.OnNews(func() {
 		select {
-		case s.news <- struct{}{}:
-		default: // a telling is due already
+		case s.changes <- struct{}{}:
+		default: // a round is already pending
 		}
 	})
 	return s
@@ -75,36 +76,36 @@
 // ID implements kernel.Service.
 func (s *Service) ID() kernel.ID { return ServiceID }
 
-// Guard returns what decides over requests.
+// Guard returns the guard whose records are propagated.
 func (s *Service) Guard() *quarantine.Guard { return s.guard }
 
 // Start implements kernel.Starter.
 func (s *Service) Start(ctx context.Context) error {
-	go pause.Every(ctx, interval, s.tell)
-	go s.tellNews(ctx)
+	go pause.Every(ctx, interval, s.sendRound)
+	go s.sendChanges(ctx)
 	return nil
 }
 
-// tellNews tells at once what this node has seen itself.
-func (s *Service) tellNews(ctx context.Context) {
+// sendChanges starts a round at once when this node has recorded a local change.
+func (s *Service) sendChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.news:
-			s.tell(ctx)
+		case <-s.changes:
+			s.sendRound(ctx)
 		}
 	}
 }
 
-func (s *Service) tell(ctx context.Context) {
+func (s *Service) sendRound(ctx context.Context) {
 	records := s.guard.Tell()
 	if len(records) == 0 {
 		return
 	}
 	raw, err := cbor.Marshal(records)
 	if err != nil {
-		s.log.Error("requests not told to other nodes", "err", err)
+		s.log.Error("quarantine records not sent: encoding failed", "err", err)
 		return
 	}
 	for _, n := range s.peers() {
@@ -116,11 +117,11 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := s.network.Notify(ctx, addr, method, m); err != nil {
-		s.log.Debug("requests not told to a node", "addr", addr, "err", err)
+		s.log.Debug("quarantine records not sent to a node", "addr", addr, "err", err)
 	}
 }
 
-// peers returns some live nodes besides this one.
+// peers returns up to fanout random live nodes other than this one.
 func (s *Service) peers() []membership.Node {
 	view := s.members.View()
 	var live []membership.Node
--- a/quarantine/gossip/gossip_test.go
+++ b/quarantine/gossip/gossip_test.go
@@ -17,7 +17,7 @@
 	"github.com/knapweedgw/knapweedgw/quarantine"
 )
 
-// network delivers notifications at once. It is not for concurrent use.
+// network delivers notifications synchronously. It is not safe for concurrent use.
 type network struct {
 	handlers map[string]peer.Handler
 	sent     int
@@ -44,10 +44,10 @@
 
 func (m members) View() *membership.View { return m.view }
 
-var begun = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// fleet is n services that tell each other on virtual time.
-func fleet(n int, now *time.Time) ([]*Service, *network) {
+// newFleet returns n services connected by a network, on the virtual clock now.
+func newFleet(n int, now *time.Time) ([]*Service, *network) {
 	net := &network{handlers: make(map[string]peer.Handler)}
 	var nodes []membership.Node
 	for i := range n {
@@ -64,45 +64,45 @@
 	return all, net
 }
 
-// Three nodes see a target end each; all know of the quarantine within 3 s.
+// Three nodes detect one termination each; all nodes have the quarantine within 3 s.
 func TestQuarantineIsKnownEverywhere(t *testing.T) {
 	for _, n := range []int{3, 8, 66, 370} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			now := begun
-			all, net := fleet(n, &now)
+			now := startTime
+			all, net := newFleet(n, &now)
 			for _, s := range all {
-				s.tell(t.Context())
+				s.sendRound(t.Context())
 			}
-			is.Equal(net.sent, 0) // nothing is known
+			is.Equal(net.sent, 0) // no node has records
 			request := quarantine.Fingerprint{1}
 			for i := range 3 {
 				now = now.Add(time.Second)
 				suspect := quarantine.Suspect{Fingerprint: request, Sent: now.Add(-100 * time.Millisecond), Closed: now}
 				all[i].guard.Ended(fmt.Sprint("t", i), uint64(i), []quarantine.Suspect{suspect})
 			}
-			unaware := n
-			for third := now; unaware > 0 && now.Sub(third) < 3*time.Second; now = now.Add(interval) {
-				unaware = 0
+			missing := n
+			for lastEnd := now; missing > 0 && now.Sub(lastEnd) < 3*time.Second; now = now.Add(interval) {
+				missing = 0
 				for _, s := range all {
-					s.tell(t.Context())
+					s.sendRound(t.Context())
 				}
 				for _, s := range all {
 					if !s.guard.Quarantined(request) {
-						unaware++
+						missing++
 					}
 				}
 			}
-			is.Equal(unaware, 0)
+			is.Equal(missing, 0)
 			t.Logf("%d nodes: %d messages a node", n, net.sent/n)
 		})
 	}
 }
 
-func TestGarbledMessagesAreNotTaken(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
-	now := begun
-	all, _ := fleet(1, &now)
+	now := startTime
+	all, _ := newFleet(1, &now)
 	for _, raw := range []string{"", "{", `{"r":"AAAA"}`, `{"r":"gf8="}`} {
 		_, err := all[0].receive(t.Context(), json.RawMessage(raw))
 		is.True(err != nil)
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -10,194 +10,201 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// Guard is a node's Table with its clock, log and metrics. Any goroutine may use it.
+// Guard wraps a node's Table with a clock, a lock, logging and metrics. It is safe for concurrent
+// use.
 type Guard struct {
-	log     *log.Logger
-	now     func() time.Time
-	metrics *metrics
-	onNews  func()
-	onPut   func()
+	log           *log.Logger
+	now           func() time.Time
+	metrics       *metrics
+	onLocalChange func()
+	onQuarantined func()
 
 	mu    sync.Mutex
 	table *Table
 }
 
-// metrics count what the guard decides.
+// metrics counts terminations and quarantine decisions.
 type metrics struct {
-	ends, put, freed, trials prometheus.Counter
-	known                    prometheus.Gauge
+	ends, quarantined, released, trials prometheus.Counter
+	tracked                             prometheus.Gauge
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
 	f := telemetry.NewMeters(reg, "quarantine")
 	return &metrics{
-		ends:   f.Counter("target_ends_total", "Targets that ended while they ran requests of this node."),
-		put:    f.Counter("put_total", "Requests put into quarantine, by this node's or another's word."),
-		freed:  f.Counter("freed_total", "Requests freed from quarantine after a whole answer."),
-		trials: f.Counter("trials_total", "Runs of quarantined requests that show whether they are still harmful."),
-		known:  f.Gauge("requests", "Requests known under which targets ended."),
+		ends:        f.Counter("target_ends_total", "Targets that ended while they ran requests of this node."),
+		quarantined: f.Counter("put_total", "Requests put into quarantine, by this node's or another's word."),
+		released:    f.Counter("freed_total", "Requests freed from quarantine after a whole answer."),
+		trials:      f.Counter("trials_total", "Runs of quarantined requests that show whether they are still harmful."),
+		tracked:     f.Gauge("requests", "Requests known under which targets ended."),
 	}
 }
 
-// NewGuard returns a guard that knows no request.
+// NewGuard returns a guard with an empty table.
 func NewGuard(cfg Config, now func() time.Time, l *log.Logger, reg prometheus.Registerer) *Guard {
 	return &Guard{
 		log: l, now: now, metrics: newMetrics(reg), table: NewTable(cfg),
-		onNews: func() {}, onPut: func() {},
+		onLocalChange: func() {}, onQuarantined: func() {},
 	}
 }
 
-// OnNews names what is called when this node has seen targets end under requests, so that
-// other nodes learn it at once. f must not block; it may call the guard. OnNews must be
-// called before the guard is used.
-func (g *Guard) OnNews(f func()) { g.onNews = f }
+// OnNews sets the function that is called when this node records a target termination or a
+// completed attempt that clears a request, so that other nodes can be notified at once. f must
+// not block; it may call the guard. OnNews must be called before the guard is used.
+func (g *Guard) OnNews(f func()) { g.onLocalChange = f }
 
-// OnPut names what is called when a request is put into quarantine, with the same terms.
-func (g *Guard) OnPut(f func()) { g.onPut = f }
+// OnPut sets the function that is called when a request is put into quarantine. The same
+// conditions as for OnNews apply to f.
+func (g *Guard) OnPut(f func()) { g.onQuarantined = f }
 
-// Active says whether any request is known, so that fingerprints are of use.
+// Active reports whether the table holds any request. While it doesn't, fingerprints need not be
+// computed.
 func (g *Guard) Active() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Len() > 0
 }
 
-// Begin decides whether a request may be run now.
+// Begin decides whether an attempt of a request may be sent to a target now.
 func (g *Guard) Begin(f Fingerprint) Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.table.Begin(f, g.now())
 	if d.Trial {
 		g.metrics.trials.Inc()
-		g.log.Warn("quarantined request is run to see whether it still ends targets", "fingerprint", f, "strikes", d.Strikes)
+		g.log.Warn("trial attempt of a quarantined request", "fingerprint", f, "strikes", d.Strikes)
 	}
 	return d
 }
 
-// Done ends a run that Begin counted.
+// Done ends an attempt for which Begin returned a Decision with Counted set.
 func (g *Guard) Done(f Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.table.Done(f)
 }
 
-// Quarantined says whether a request is in quarantine.
+// Quarantined reports whether a request is in quarantine.
 func (g *Guard) Quarantined(f Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Quarantined(f)
 }
 
-// Suspect is a run that was in progress when its target ended.
+// Suspect is an attempt that was in progress when its target terminated.
 type Suspect struct {
-	Request     string // its ID
+	Request     string // request ID
 	Fingerprint Fingerprint
 	Sent        time.Time
-	// Closed is when the target closed the connection. Evidence that it has ended may
-	// come seconds later.
+	// Closed is when the target closed the connection. The evidence that the target has
+	// terminated may come seconds later.
 	Closed time.Time
 }
 
-// Ended notes that a target has ended under some runs. run is the hash of the target's run.
-func (g *Guard) Ended(target string, run uint64, suspects []Suspect) {
+// Ended records that a target terminated during the given attempts. instanceHash
+// identifies the process instance of the target.
+func (g *Guard) Ended(target string, instanceHash uint64, suspects []Suspect) {
 	if len(suspects) == 0 {
 		return
 	}
-	put := g.noteEnds(target, run, suspects)
-	g.onNews()
-	if put {
-		g.onPut()
+	quarantined := g.recordEnds(target, instanceHash, suspects)
+	g.onLocalChange()
+	if quarantined {
+		g.onQuarantined()
 	}
 }
 
-func (g *Guard) noteEnds(target string, run uint64, suspects []Suspect) (put bool) {
+func (g *Guard) recordEnds(target string, instanceHash uint64, suspects []Suspect) (quarantined bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.metrics.ends.Inc()
 	for _, s := range suspects {
-		was := g.table.Quarantined(s.Fingerprint)
-		strikes := g.table.Ended(s.Fingerprint, uint32(run), s.Sent, s.Closed, now)
+		before := g.table.Quarantined(s.Fingerprint)
+		strikes := g.table.Ended(s.Fingerprint, uint32(instanceHash), s.Sent, s.Closed, now)
 		g.log.Info("target ended under a request", "target", target, "request", s.Request,
 			"fingerprint", s.Fingerprint, "strikes", strikes, "sent_ms_ago", now.Sub(s.Sent).Milliseconds())
-		if !was && g.table.Quarantined(s.Fingerprint) {
-			put = true
-			g.notePut(s.Fingerprint, "own")
+		if !before && g.table.Quarantined(s.Fingerprint) {
+			quarantined = true
+			g.logQuarantined(s.Fingerprint, "own")
 		}
 	}
-	g.metrics.known.Set(float64(g.table.Len()))
-	return put
+	g.metrics.tracked.Set(float64(g.table.Len()))
+	return quarantined
 }
 
-// notePut is called with the lock held.
-func (g *Guard) notePut(f Fingerprint, source string) {
-	g.metrics.put.Inc()
+// logQuarantined counts and logs that a request was put into quarantine. The caller must hold
+// g.mu.
+func (g *Guard) logQuarantined(f Fingerprint, source string) {
+	g.metrics.quarantined.Inc()
 	g.log.Warn("request quarantined: targets end under it", "fingerprint", f, "word_of", source)
 }
 
-// Completed notes a run whose answer came whole.
+// Completed records an attempt that received a complete response.
 func (g *Guard) Completed(f Fingerprint) {
-	if !g.noteCompleted(f) {
+	if !g.recordCompleted(f) {
 		return
 	}
-	g.onNews()
+	g.onLocalChange()
 }
 
-func (g *Guard) noteCompleted(f Fingerprint) bool {
+func (g *Guard) recordCompleted(f Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	was := g.table.Quarantined(f)
+	before := g.table.Quarantined(f)
 	if !g.table.Completed(f, g.now()) {
 		return false
 	}
-	if was {
-		g.noteFreed(f, "own")
+	if before {
+		g.logReleased(f, "own")
 	}
 	return true
 }
 
-// noteFreed is called with the lock held.
-func (g *Guard) noteFreed(f Fingerprint, source string) {
-	g.metrics.freed.Inc()
+// logReleased counts and logs that a request was released from quarantine. The caller must hold
+// g.mu.
+func (g *Guard) logReleased(f Fingerprint, source string) {
+	g.metrics.released.Inc()
 	g.log.Info("request freed from quarantine: a run was completed", "fingerprint", f, "word_of", source)
 }
 
-// Hear takes what another node told, or what a note holds.
+// Hear merges records received from another node or read from the stored snapshot. source is the
+// node's ID or a description, for the log.
 func (g *Guard) Hear(source string, records []Record) {
 	if len(records) == 0 {
 		return
 	}
-	if g.take(source, records) {
-		g.onPut()
+	if g.merge(source, records) {
+		g.onQuarantined()
 	}
 }
 
-func (g *Guard) take(source string, records []Record) (put bool) {
+func (g *Guard) merge(source string, records []Record) (quarantined bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	added, freed := g.table.Hear(records, g.now())
+	added, released := g.table.Hear(records, g.now())
 	for _, f := range added {
-		g.notePut(f, source)
+		g.logQuarantined(f, source)
 	}
-	for _, f := range freed {
-		g.noteFreed(f, source)
+	for _, f := range released {
+		g.logReleased(f, source)
 	}
-	g.metrics.known.Set(float64(g.table.Len()))
+	g.metrics.tracked.Set(float64(g.table.Len()))
 	return len(added) > 0
 }
 
-// Tell returns what the other nodes should be told now.
+// Tell returns the records to send to the other nodes now.
 func (g *Guard) Tell() []Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	told := g.table.Tell(g.now())
-	g.metrics.known.Set(float64(g.table.Len()))
-	return told
+	records := g.table.Tell(g.now())
+	g.metrics.tracked.Set(float64(g.table.Len()))
+	return records
 }
 
-// Note returns the requests in quarantine, for nodes that begin.
+// Note returns the requests in quarantine, for nodes that start later.
 func (g *Guard) Note() []Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Note(g.now())
+	return g.table.Snapshot(g.now())
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,76 +6,76 @@
 	"time"
 )
 
-// Record is what nodes tell each other, and note for their next start, of a request
-// under which targets ended. Times are told as ages in milliseconds when the record
-// was made, so that the nodes' clocks need not agree; a negative age means never.
+// Record is one request during which targets terminated, as nodes send it to each other and store
+// it for nodes that start later. Times are encoded as ages in milliseconds relative to when the
+// record was made, so that the nodes' clocks need not agree; a negative age means never.
 type Record struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
 	Ends    []EndRecord
-	// Completed is when a run was last completed, Trial when a quarantined request was
-	// last run to see whether it is still harmful, Seen when it last came.
+	// Completed is when an attempt last completed, Trial when the last trial attempt of the
+	// quarantined request was sent, and Seen when the request was last received.
 	Completed, Trial, Seen int64
 }
 
-// EndRecord is one target that ended under a request.
+// EndRecord is one termination of a target during a request.
 type EndRecord struct {
 	_ struct{} `cbor:",toarray"`
-	// Target is the lower half of the hash of the target's run.
+	// Target is the lower half of the hash that identifies the target's process instance.
 	Target uint32
-	// Nth tells ends of the same target: one that starts again may end again before its
-	// new start is known.
+	// Nth distinguishes terminations of the same Target: a target that restarts may terminate
+	// again before its new instance is known.
 	Nth uint8
-	// Sent is when the request was sent there, Ended when the target was found to have
-	// ended.
+	// Sent is when the request was sent to the target, Ended when the target was found to have
+	// terminated.
 	Sent, Ended int64
 }
 
-// never is the age of what has not happened.
+// never is the encoded age of an event that has not happened.
 const never = -1
 
-// end is a target that ended under a request.
+// end is one termination of a target during a request.
 type end struct {
 	target      uint32
 	nth         uint8
 	sent, ended time.Time
 }
 
-// entry is what this node knows of a request under which targets ended. Entries of
-// several nodes are merged by the union of their ends and the newest of their other
-// times, so that it doesn't matter in which order, how often and by which way news
-// come.
+// entry is this node's state for a request during which targets terminated. Entries of several
+// nodes are merged by the union of their ends and the newest of each other time, so that merging
+// is independent of the order, number and route of messages.
 type entry struct {
-	ends                   []end // by the time of the end
+	ends                   []end // sorted by the time of termination
 	completed, trial, seen time.Time
-	// changed is when the entry last changed in what other nodes should know.
+	// changed is when the entry last changed in a way that other nodes must learn of.
 	changed time.Time
-	// running is the number of runs in progress on this node's account.
+	// running is the number of attempts in progress on this node that Begin has counted.
 	running int
 }
 
-// maxEnds is the most ends that are kept of a request: more than speak against it, since
-// some end at the same moment.
+// maxEnds bounds the ends kept for a request. It is larger than the number of strikes needed,
+// since some targets terminate at the same moment and count once.
 const maxEnds = 16
 
-// restartTime is less than any target takes to start again.
-const restartTime = 200 * time.Millisecond
+// minRestartTime is shorter than any target takes to restart.
+const minRestartTime = 200 * time.Millisecond
 
-// observe adds an end that this node saw. One whose run was sent well after a known end of
-// the target is another. Only the node that saw it decides that: times that come from
-// other nodes are younger by the way of their messages.
-func (e *entry) observe(n end) (news bool) {
+// addLocalEnd adds a termination that this node detected. If its attempt was sent more than
+// minRestartTime after a known end of the same target, it is a separate end with the next number.
+// Only the detecting node decides this: message delay makes times received from other nodes
+// appear later than they were. It reports whether the entry changed.
+func (e *entry) addLocalEnd(n end) (changed bool) {
 	n.nth = 1
 	for _, known := range e.ends {
-		if known.target == n.target && n.sent.After(known.ended.Add(restartTime)) {
+		if known.target == n.target && n.sent.After(known.ended.Add(minRestartTime)) {
 			n.nth = max(n.nth, known.nth+1)
 		}
 	}
 	return e.addEnd(n)
 }
 
-// addEnd adds a target's end. Of two words on the same end the older one holds: it comes
-// from the node that saw it first. It returns whether the end is news.
+// addEnd adds an end. Of two reports of the same end the earlier times are kept, since they come
+// from the node that detected it first. It reports whether the end is new.
 func (e *entry) addEnd(n end) bool {
 	for i := range e.ends {
 		known := &e.ends[i]
@@ -88,30 +88,31 @@
 	}
 	at, _ := slices.BinarySearchFunc(e.ends, n, end.compare)
 	e.ends = slices.Insert(e.ends, at, n)
-	return !e.drop(n)
+	return !e.evictExcess(n)
 }
 
-// compare orders ends by time; of those at the same moment the order is any, but the same
+// compare orders ends by time. Ends at the same moment are in an arbitrary order that is the same
 // on all nodes.
 func (a end) compare(b end) int {
 	return cmp.Or(a.ended.Compare(b.ended), a.sent.Compare(b.sent), cmp.Compare(a.target, b.target), cmp.Compare(a.nth, b.nth))
 }
 
-// drop drops an end if there are too many: the newest that is no strike, else the oldest,
-// which a whole answer clears first. It returns whether that is n.
-func (e *entry) drop(n end) bool {
+// evictExcess removes one end if there are more than maxEnds: the newest that is not a strike, or
+// else the oldest, which a complete response would clear first. It reports whether the removed
+// end is n.
+func (e *entry) evictExcess(n end) bool {
 	if len(e.ends) <= maxEnds {
 		return false
 	}
 	at := 0
-	for i, strike := range e.counting() {
+	for i, strike := range e.strikeFlags() {
 		if !strike {
 			at = i
 		}
 	}
-	dropped := e.ends[at]
+	evicted := e.ends[at]
 	e.ends = slices.Delete(e.ends, at, at+1)
-	return dropped == n
+	return evicted == n
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -128,36 +129,37 @@
 	return a
 }
 
-// strikes counts the ends that speak against the request: one run after the other
-// ended its target, and none was completed. Targets that end at the same moment count
-// once, since one cause beside the request may have ended them all. Runs that began
-// before another was completed don't count: what ended them was not the request.
+// strikes counts the ends that are evidence against the request: attempts that were sent one
+// after the other, each of whose targets terminated, while no attempt completed. Targets that
+// terminate at the same moment count once, since a single cause other than the request may have
+// ended them all. Attempts that were sent before another one completed don't count, since the
+// request was not the cause of those terminations.
 func (e *entry) strikes() int {
 	n := 0
-	for _, counts := range e.counting() {
-		if counts {
+	for _, strike := range e.strikeFlags() {
+		if strike {
 			n++
 		}
 	}
 	return n
 }
 
-// counting says of each end whether it is a strike.
-func (e *entry) counting() []bool {
-	counts := make([]bool, len(e.ends))
+// strikeFlags reports for each end whether it is a strike.
+func (e *entry) strikeFlags() []bool {
+	flags := make([]bool, len(e.ends))
 	var last time.Time
 	for i, end := range e.ends {
 		if end.sent.Before(e.completed) || end.sent.Before(last) {
 			continue
 		}
-		counts[i] = true
+		flags[i] = true
 		last = end.ended
 	}
-	return counts
+	return flags
 }
 
-// newest returns when anything was last known to happen with the request.
-func (e *entry) newest() time.Time {
+// lastActivity returns the latest of the time the request was last received and its last end.
+func (e *entry) lastActivity() time.Time {
 	t := e.seen
 	if n := len(e.ends); n > 0 {
 		t = later(t, e.ends[n-1].ended)
@@ -165,34 +167,33 @@
 	return t
 }
 
-// record returns the entry as it is told at now.
+// record returns the entry as a Record with ages relative to now.
 func (e *entry) record(f Fingerprint, now time.Time) Record {
 	r := Record{
-		Request: f, Completed: ageOf(e.completed, now), Trial: ageOf(e.trial, now), Seen: ageOf(e.seen, now),
+		Request: f, Completed: ageMillis(e.completed, now), Trial: ageMillis(e.trial, now), Seen: ageMillis(e.seen, now),
 	}
 	for _, end := range e.ends {
 		r.Ends = append(r.Ends, EndRecord{
-			Target: end.target, Nth: end.nth, Sent: ageOf(end.sent, now), Ended: ageOf(end.ended, now),
+			Target: end.target, Nth: end.nth, Sent: ageMillis(end.sent, now), Ended: ageMillis(end.ended, now),
 		})
 	}
 	return r
 }
 
-// merge adds what another node told. A time that seems only a little newer is no news:
-// it is the same time, which a slow message has made younger. It returns whether there
-// was news.
+// merge adds a record of another node. A time that is only slightly newer is treated as the same
+// time, made to appear later by message delay. It reports whether the entry changed.
 func (e *entry) merge(r Record, now time.Time) bool {
-	news := false
+	changed := false
 	for _, n := range r.Ends {
-		news = e.addEnd(end{n.Target, n.Nth, timeOf(n.Sent, now), timeOf(n.Ended, now)}) || news
+		changed = e.addEnd(end{n.Target, n.Nth, timeFromAge(n.Sent, now), timeFromAge(n.Ended, now)}) || changed
 	}
-	news = e.complete(timeOf(r.Completed, now)) || news
-	news = advance(&e.trial, timeOf(r.Trial, now), messageDelay) || news
-	return advance(&e.seen, timeOf(r.Seen, now), seenStep) || news
+	changed = e.complete(timeFromAge(r.Completed, now)) || changed
+	changed = advance(&e.trial, timeFromAge(r.Trial, now), maxMessageDelay) || changed
+	return advance(&e.seen, timeFromAge(r.Seen, now), minSeenAdvance) || changed
 }
 
-// complete notes a run that was completed, if that clears the request of any strike.
-// It returns whether it does.
+// complete records a completed attempt if that clears at least one strike. It reports whether it
+// does.
 func (e *entry) complete(at time.Time) bool {
 	before, strikes := e.completed, e.strikes()
 	e.completed = later(e.completed, at)
@@ -204,40 +205,41 @@
 }
 
 const (
-	// messageDelay is more than messages between nodes take, also to one that waits
-	// for its processor.
-	messageDelay = time.Second
-	// seenStep is how much later a request must have come to be worth telling: a
-	// fraction of the time for which it is kept in quarantine.
-	seenStep = 30 * time.Second
+	// maxMessageDelay is longer than messages between nodes take, including those to a node that
+	// waits for CPU time.
+	maxMessageDelay = time.Second
+	// minSeenAdvance is how much later a request must have been received before other nodes are
+	// notified: a fraction of Config.Retention.
+	minSeenAdvance = 30 * time.Second
 )
 
-// advance moves t to a time that is later by least or more. It returns whether it did.
-func advance(t *time.Time, to time.Time, least time.Duration) bool {
-	if to.IsZero() || !t.IsZero() && to.Sub(*t) < least {
+// advance sets t to a time that is later by at least the given duration, or to any time if t is
+// zero. It reports whether t changed.
+func advance(t *time.Time, to time.Time, minStep time.Duration) bool {
+	if to.IsZero() || !t.IsZero() && to.Sub(*t) < minStep {
 		return false
 	}
 	*t = to
 	return true
 }
 
-func ageOf(t, now time.Time) int64 {
+func ageMillis(t, now time.Time) int64 {
 	if t.IsZero() {
 		return never
 	}
 	return max(now.Sub(t).Milliseconds(), 0)
 }
 
-func timeOf(age int64, now time.Time) time.Time {
+func timeFromAge(age int64, now time.Time) time.Time {
 	if age < 0 {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// byWeight orders records for a message with little room: those with the most ends
-// first, then the newest.
-func byWeight(a, b Record) int {
+// byPriority orders the records of a message of bounded size: those with the most ends first,
+// then the most recently received.
+func byPriority(a, b Record) int {
 	if c := cmp.Compare(len(b.Ends), len(a.Ends)); c != 0 {
 		return c
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -1,8 +1,11 @@
-// Package quarantine keeps requests from targets that end under them (queries of
-// death). A request is told by what decides over how a target runs it. It is put into
-// quarantine when targets have ended under several of its runs, one after the other, and
-// none of its runs was completed meanwhile. The package is pure: the caller passes the
-// time, and what other nodes know as records.
+// Package quarantine keeps requests from targets that terminate while they process them (queries
+// of death). A request is identified by the fields that determine how a target processes it. It
+// is put into quarantine when targets have terminated during several of its attempts, one after
+// the other, and none of its attempts has completed in between. The package performs no I/O: the
+// caller passes the time, and the state of other nodes as records.
+//
+// An attempt is one sending of a request to one target. A strike is a termination that counts as
+// evidence against the request.
 package quarantine
 
 import (
@@ -11,73 +14,75 @@
 	"time"
 )
 
-// Config sets when a request is put into quarantine and what is kept of it.
+// Config sets when a request is put into quarantine and how long its state is kept.
 type Config struct {
-	// Strikes is the number of runs that must have ended their targets: one or two
-	// may be chance for a request that is on many targets.
+	// Strikes is the number of strikes at which a request is put into quarantine. One or two may
+	// be chance for a request that runs on many targets.
 	Strikes int
-	// Careful is the number of strikes from which on a node runs the request once at
-	// a time.
-	Careful int
-	// Hold is how long a request stays known after it came last: longer than a caller's
-	// program takes to come again after a pause.
-	Hold time.Duration
-	// Trial is how long a request is in quarantine before one run shows whether it is
-	// still harmful, so that a wrong quarantine ends. It is the only run: a request that
-	// ends another target stays in quarantine as long as it comes.
-	Trial time.Duration
-	// Tell is how long news is told to other nodes: each gets two messages.
-	Tell time.Duration
-	// Retell is the time between two tellings of a quarantine, for nodes that were cut
-	// off from the others when it began.
-	Retell time.Duration
-	// MaxEntries bounds the requests that are remembered, about 300 bytes each. An end
-	// of a target with 16 runs brings as many.
+	// SerialStrikes is the number of strikes from which on a node allows only one attempt of the
+	// request at a time.
+	SerialStrikes int
+	// Retention is how long a request is kept after it was last received. It is longer than a
+	// caller's program takes to repeat a request after a pause.
+	Retention time.Duration
+	// TrialDelay is how long a request is in quarantine before one trial attempt is allowed to
+	// find out whether the request is still harmful, so that a wrong quarantine ends. It is the
+	// only trial: a request during which another target terminates stays in quarantine as long as
+	// it is received.
+	TrialDelay time.Duration
+	// PropagateFor is how long a change is sent to other nodes: each gets two messages.
+	PropagateFor time.Duration
+	// RepeatInterval is the time between two propagations of a quarantine, for nodes that were
+	// partitioned from the others when it began.
+	RepeatInterval time.Duration
+	// MaxEntries bounds the requests that are kept, about 300 bytes each. A termination of a
+	// target with 16 attempts in progress adds 16.
 	MaxEntries int
-	// MaxTold bounds the records in one message, 30 to 100 bytes each.
-	MaxTold int
+	// MaxRecordsPerMessage bounds the records in one message, 30 to 100 bytes each.
+	MaxRecordsPerMessage int
 }
 
-// DefaultConfig is for targets that take seconds to start again.
+// DefaultConfig returns the configuration for targets that take seconds to restart.
 func DefaultConfig() Config {
 	return Config{
-		Strikes: 3, Careful: 2, Hold: 10 * time.Minute, Trial: time.Minute,
-		Tell: 900 * time.Millisecond, Retell: 2 * time.Second, MaxEntries: 4096, MaxTold: 24,
+		Strikes: 3, SerialStrikes: 2, Retention: 10 * time.Minute, TrialDelay: time.Minute,
+		PropagateFor: 900 * time.Millisecond, RepeatInterval: 2 * time.Second, MaxEntries: 4096,
+		MaxRecordsPerMessage: 24,
 	}
 }
 
-// Verdict says whether a request may be run.
+// Verdict is whether an attempt of a request is allowed.
 type Verdict int
 
 // The verdicts.
 const (
-	// Free allows a run.
+	// Free allows the attempt.
 	Free Verdict = iota
-	// Busy means that a copy of the request, under which targets have ended, is being
-	// run on this node; its outcome decides.
+	// Busy refuses the attempt since this node already runs another one of the same request,
+	// which has strikes; the outcome of that attempt decides.
 	Busy
-	// Quarantined forbids a run.
+	// Quarantined refuses the attempt.
 	Quarantined
 )
 
-// Decision is a verdict with what it is based on.
+// Decision is a verdict and the state it is based on.
 type Decision struct {
 	Verdict Verdict
 	Strikes int
-	// Counted says that the caller must call Done when the run is over.
+	// Counted means that the caller must call Done when the attempt is over.
 	Counted bool
-	// Trial says that a quarantined request is allowed one run.
+	// Trial means that this is the one trial attempt of a quarantined request.
 	Trial bool
-	// For is how long the verdict holds if the request doesn't come again meanwhile.
+	// For is how long the verdict holds if the request isn't received again in the meantime.
 	For time.Duration
 }
 
-// Table is what one node knows of requests under which targets ended. One goroutine at
-// a time may use it.
+// Table is one node's state of the requests during which targets terminated. It is not safe for
+// concurrent use.
 type Table struct {
-	cfg     Config
-	entries map[Fingerprint]*entry
-	expired time.Time
+	cfg        Config
+	entries    map[Fingerprint]*entry
+	lastExpiry time.Time
 }
 
 // NewTable returns an empty table.
@@ -85,20 +90,20 @@
 	return &Table{cfg: cfg, entries: make(map[Fingerprint]*entry)}
 }
 
-// Len returns the number of requests known. A node that knows none need not take
+// Len returns the number of requests in the table. While it is 0, a node need not compute
 // fingerprints.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Begin decides whether a request may be run now.
+// Begin decides whether an attempt of a request may be sent to a target now.
 func (t *Table) Begin(f Fingerprint, now time.Time) Decision {
 	e, ok := t.entries[f]
 	if !ok {
 		return Decision{}
 	}
-	d := t.judge(e, now)
+	d := t.decide(e, now)
 	switch d.Verdict {
 	case Quarantined:
-		if advance(&e.seen, now, 0) && now.Sub(e.changed) >= seenStep {
+		if advance(&e.seen, now, 0) && now.Sub(e.changed) >= minSeenAdvance {
 			e.changed = now
 		}
 	case Free:
@@ -112,39 +117,39 @@
 	return d
 }
 
-func (t *Table) judge(e *entry, now time.Time) Decision {
+func (t *Table) decide(e *entry, now time.Time) Decision {
 	d := Decision{Strikes: e.strikes()}
 	switch {
-	case d.Strikes < t.cfg.Careful:
+	case d.Strikes < t.cfg.SerialStrikes:
 	case e.running > 0:
 		d.Verdict, d.For = Busy, busyRetry
 	case d.Strikes < t.cfg.Strikes:
 	case t.trialDue(e, d.Strikes, now):
 		d.Trial = true
 	default:
-		d.Verdict, d.For = Quarantined, t.cfg.Hold
+		d.Verdict, d.For = Quarantined, t.cfg.Retention
 	}
 	return d
 }
 
-// busyRetry is when a copy of a request that is being run may come again: what ends a
-// target mostly does so while it reads the prompt.
+// busyRetry is when a copy of a request that is in progress may be retried. Most targets that
+// terminate because of a request do so while they read the prompt.
 const busyRetry = 500 * time.Millisecond
 
-// trialDue says whether a quarantined request may be run once.
+// trialDue reports whether the trial attempt of a quarantined request may be sent.
 func (t *Table) trialDue(e *entry, strikes int, now time.Time) bool {
 	since := later(e.ends[len(e.ends)-1].ended, e.trial)
-	return strikes == t.cfg.Strikes && now.Sub(since) >= t.cfg.Trial
+	return strikes == t.cfg.Strikes && now.Sub(since) >= t.cfg.TrialDelay
 }
 
-// Done ends a run that Begin counted.
+// Done ends an attempt for which Begin returned a Decision with Counted set.
 func (t *Table) Done(f Fingerprint) {
 	if e, ok := t.entries[f]; ok && e.running > 0 {
 		e.running--
 	}
 }
 
-// Quarantined says whether a request is in quarantine now.
+// Quarantined reports whether a request is in quarantine now.
 func (t *Table) Quarantined(f Fingerprint) bool {
 	e, ok := t.entries[f]
 	return ok && t.inQuarantine(e)
@@ -152,19 +157,19 @@
 
 func (t *Table) inQuarantine(e *entry) bool { return e.strikes() >= t.cfg.Strikes }
 
-// Ended notes that a target ended, at the time given, which was sent the request at sent.
-// It returns the request's strikes.
+// Ended records that a target, to which the request was sent at sent, terminated at ended. It
+// returns the request's strikes.
 func (t *Table) Ended(f Fingerprint, target uint32, sent, ended, now time.Time) int {
 	e := t.entry(f, now)
-	if e.observe(end{target: target, sent: sent, ended: ended}) {
+	if e.addLocalEnd(end{target: target, sent: sent, ended: ended}) {
 		e.changed = now
 	}
 	e.seen = later(e.seen, sent)
 	return e.strikes()
 }
 
-// Completed notes a run whose answer came whole. It returns whether that clears the
-// request of strikes.
+// Completed records an attempt that received a complete response. It reports whether that clears
+// strikes of the request.
 func (t *Table) Completed(f Fingerprint, now time.Time) bool {
 	e, ok := t.entries[f]
 	if !ok || !e.complete(now) {
@@ -174,11 +179,11 @@
 	return true
 }
 
-// Hear takes what another node told, or what was noted. It returns the requests that are
-// in quarantine by it and were not before, and those that no longer are.
-func (t *Table) Hear(records []Record, now time.Time) (put, freed []Fingerprint) {
+// Hear merges records received from another node or read from the stored snapshot. It returns the
+// requests that this puts into quarantine and those that it releases.
+func (t *Table) Hear(records []Record, now time.Time) (quarantined, released []Fingerprint) {
 	for _, r := range records {
-		if t.outlived(r) {
+		if t.isExpired(r) {
 			continue
 		}
 		e := t.entry(r.Request, now)
@@ -188,36 +193,36 @@
 		}
 		switch after := t.inQuarantine(e); {
 		case after && !before:
-			put = append(put, r.Request)
+			quarantined = append(quarantined, r.Request)
 		case before && !after:
-			freed = append(freed, r.Request)
+			released = append(released, r.Request)
 		}
 	}
-	return put, freed
+	return quarantined, released
 }
 
-// outlived says whether a record is of a request that this node would have forgotten.
-func (t *Table) outlived(r Record) bool {
-	hold := t.cfg.Hold.Milliseconds()
+// isExpired reports whether a record is of a request that this node would already have expired.
+func (t *Table) isExpired(r Record) bool {
+	retention := t.cfg.Retention.Milliseconds()
 	for _, e := range r.Ends {
-		if e.Ended < hold {
+		if e.Ended < retention {
 			return false
 		}
 	}
-	return r.Seen < 0 || r.Seen >= hold
+	return r.Seen < 0 || r.Seen >= retention
 }
 
-// Tell returns what the other nodes should be told now.
+// Tell expires old entries and returns the records to send to the other nodes now.
 func (t *Table) Tell(now time.Time) []Record {
 	t.expire(now)
 	return t.records(now, func(e *entry) bool {
 		since := now.Sub(e.changed)
-		return since <= t.cfg.Tell || t.inQuarantine(e) && since%t.cfg.Retell <= t.cfg.Tell
+		return since <= t.cfg.PropagateFor || t.inQuarantine(e) && since%t.cfg.RepeatInterval <= t.cfg.PropagateFor
 	})
 }
 
-// Note returns the requests in quarantine, for nodes that begin.
-func (t *Table) Note(now time.Time) []Record { return t.records(now, t.inQuarantine) }
+// Snapshot returns the requests in quarantine, for nodes that start later.
+func (t *Table) Snapshot(now time.Time) []Record { return t.records(now, t.inQuarantine) }
 
 func (t *Table) records(now time.Time, wanted func(*entry) bool) []Record {
 	var out []Record
@@ -226,53 +231,53 @@
 			out = append(out, e.record(f, now))
 		}
 	}
-	slices.SortFunc(out, byWeight)
-	return out[:min(len(out), t.cfg.MaxTold)]
+	slices.SortFunc(out, byPriority)
+	return out[:min(len(out), t.cfg.MaxRecordsPerMessage)]
 }
 
-// entry returns the entry of a request, a new one if it has none.
+// entry returns the entry of a request and creates it if there is none.
 func (t *Table) entry(f Fingerprint, now time.Time) *entry {
 	e, ok := t.entries[f]
 	if !ok {
-		t.makeRoom()
+		t.evict()
 		e = &entry{changed: now}
 		t.entries[f] = e
 	}
 	return e
 }
 
-// expirePause is the time between two looks for entries that are over.
-const expirePause = time.Second
+// expireInterval is the time between two scans for expired entries.
+const expireInterval = time.Second
 
 func (t *Table) expire(now time.Time) {
-	if len(t.entries) == 0 || now.Sub(t.expired) < expirePause {
+	if len(t.entries) == 0 || now.Sub(t.lastExpiry) < expireInterval {
 		return
 	}
-	t.expired = now
+	t.lastExpiry = now
 	for f, e := range t.entries {
-		if now.Sub(e.newest()) >= t.cfg.Hold && e.running == 0 {
+		if now.Sub(e.lastActivity()) >= t.cfg.Retention && e.running == 0 {
 			delete(t.entries, f)
 		}
 	}
 }
 
-// makeRoom drops the quarter of a full table with the fewest strikes, the oldest first.
-// It is seldom: one call makes room for many entries.
-func (t *Table) makeRoom() {
+// evict removes a quarter of a full table: the entries with the fewest strikes, the least
+// recently active first. It runs rarely, since one call frees space for many entries.
+func (t *Table) evict() {
 	if len(t.entries) < t.cfg.MaxEntries {
 		return
 	}
 	type ranked struct {
-		f       Fingerprint
-		strikes int
-		newest  time.Time
+		f            Fingerprint
+		strikes      int
+		lastActivity time.Time
 	}
 	all := make([]ranked, 0, len(t.entries))
 	for f, e := range t.entries {
-		all = append(all, ranked{f, e.strikes(), e.newest()})
+		all = append(all, ranked{f, e.strikes(), e.lastActivity()})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(a.strikes, b.strikes), a.newest.Compare(b.newest))
+		return cmp.Or(cmp.Compare(a.strikes, b.strikes), a.lastActivity.Compare(b.lastActivity))
 	})
 	for _, r := range all[:(len(all)+3)/4] {
 		delete(t.entries, r.f)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -22,16 +22,16 @@
 
 var request = numbered(1)
 
-// run is how long a run lasts that ends its target.
-const run = 100 * time.Millisecond
+// latency is how long an attempt lasts until its target terminates.
+const latency = 100 * time.Millisecond
 
-// strike has a run end its target.
+// strike adds one termination of a target during an attempt.
 func strike(t *Table, f Fingerprint, target uint32, sent time.Time) {
-	t.Ended(f, target, sent, sent.Add(run), sent.Add(run))
+	t.Ended(f, target, sent, sent.Add(latency), sent.Add(latency))
 }
 
-// struck is a table in which n runs of the request, a second apart, ended their targets.
-func struck(n int) *Table {
+// tableWithStrikes returns a table with n strikes against request, one second apart.
+func tableWithStrikes(n int) *Table {
 	t := NewTable(DefaultConfig())
 	for i := range n {
 		strike(t, request, uint32(i), at(time.Duration(i)*time.Second))
@@ -39,18 +39,18 @@
 	return t
 }
 
-func TestRequestIsQuarantinedAfterThreeEnds(t *testing.T) {
+func TestRequestIsQuarantinedAfterThreeStrikes(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]Verdict{0: Free, 1: Free, 2: Free, 3: Quarantined, 4: Quarantined} {
-		is.Equal(struck(n).Begin(request, at(5*time.Second)).Verdict, want)
+		is.Equal(tableWithStrikes(n).Begin(request, at(5*time.Second)).Verdict, want)
 	}
-	is.Equal(struck(3).Begin(numbered(2), at(5*time.Second)).Verdict, Free) // others go on
+	is.Equal(tableWithStrikes(3).Begin(numbered(2), at(5*time.Second)).Verdict, Free) // other requests are not affected
 }
 
-// After two ends a copy waits for the outcome of the one that is being run.
-func TestSuspectIsRunOnceAtATime(t *testing.T) {
+// After two strikes a second attempt is refused while the first is in progress.
+func TestSuspectAttemptsAreSerialized(t *testing.T) {
 	is := is.New(t)
-	tab := struck(2)
+	tab := tableWithStrikes(2)
 	first := tab.Begin(request, at(5*time.Second))
 	is.True(first.Counted)
 	second := tab.Begin(request, at(5*time.Second))
@@ -60,9 +60,9 @@
 	is.Equal(tab.Begin(request, at(6*time.Second)).Verdict, Free)
 }
 
-// One cause beside the requests ends many targets at a moment; three copies of a hot
-// request on them are no evidence.
-func TestEndsAtTheSameMomentCountOnce(t *testing.T) {
+// A cause other than the request terminates many targets at the same moment. Several attempts of
+// a frequent request on those targets count as one strike.
+func TestSimultaneousTerminationsCountOnce(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(DefaultConfig())
 	for i := range 5 {
@@ -72,18 +72,21 @@
 	is.Equal(tab.Begin(request, at(2*time.Second)).Strikes, 1)
 }
 
-// Two nodes see the same target end, and so does each run on it.
-func TestOneEndCountsOnce(t *testing.T) {
+// The same termination is reported by two nodes, or by several attempts on the target, and counts
+// once.
+func TestDuplicateReportsCountOnce(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(DefaultConfig())
-	tab.Ended(request, 7, at(0), at(run), at(run))
-	tab.Ended(request, 7, at(run/2), at(run+5*time.Millisecond), at(run+time.Second))
-	tab.Ended(request, 7, at(run+time.Millisecond), at(run+6*time.Millisecond), at(run+time.Second)) // sent as it ended
+	tab.Ended(request, 7, at(0), at(latency), at(latency))
+	tab.Ended(request, 7, at(latency/2), at(latency+5*time.Millisecond), at(latency+time.Second))
+	// Sent while the target terminated.
+	tab.Ended(request, 7, at(latency+time.Millisecond), at(latency+6*time.Millisecond), at(latency+time.Second))
 	is.Equal(tab.Begin(request, at(time.Second)).Strikes, 1)
 }
 
-// A target that starts again ends again, also before its new start is known.
-func TestTargetThatStartsAgainCountsAgain(t *testing.T) {
+// A target that restarts and terminates again counts again, even before its new instance is
+// known.
+func TestRestartedTargetCountsAgain(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(DefaultConfig())
 	for i := range 3 {
@@ -92,60 +95,61 @@
 	is.Equal(tab.Begin(request, at(2*time.Second)).Verdict, Quarantined)
 }
 
-// Evidence may come late: runs that were sent after the target had closed its connections
-// count, though that it had ended was not known yet.
-func TestLateEvidenceCountsFromTheClose(t *testing.T) {
+// The evidence of a termination may come late: attempts that were sent after the target had
+// closed its connections count, even if the termination had not been detected when they were
+// sent.
+func TestLateEvidenceCountsFromConnectionClose(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(DefaultConfig())
 	for i := range 3 {
 		sent := at(time.Duration(i) * 300 * time.Millisecond)
-		tab.Ended(request, uint32(i), sent, sent.Add(run), at(2*time.Second))
+		tab.Ended(request, uint32(i), sent, sent.Add(latency), at(2*time.Second))
 	}
 	is.Equal(tab.Begin(request, at(3*time.Second)).Verdict, Quarantined)
 }
 
-func TestWholeAnswerClears(t *testing.T) {
+func TestCompleteResponseClearsStrikes(t *testing.T) {
 	is := is.New(t)
-	tab := struck(2)
+	tab := tableWithStrikes(2)
 	is.True(tab.Completed(request, at(3*time.Second)))
 	strike(tab, request, 9, at(4*time.Second))
 	is.Equal(tab.Begin(request, at(5*time.Second)).Strikes, 1)
-	is.True(!tab.Completed(numbered(2), at(5*time.Second))) // nothing was known of it
+	is.True(!tab.Completed(numbered(2), at(5*time.Second))) // the request is not in the table
 }
 
-// A hot request is on many targets when a quarter of them ends, three times. Its other
-// runs are answered meanwhile, on any node.
+// A frequent request runs on many targets when a quarter of them terminate, three times. Its
+// other attempts complete in the meantime, on any node, so it must not be quarantined.
 func TestHotRequestIsNotQuarantinedWhenManyTargetsEnd(t *testing.T) {
 	const (
-		nodes, targets = 8, 20
-		each           = 20 * time.Millisecond  // between two runs
-		length         = 300 * time.Millisecond // of a run
-		told           = 250 * time.Millisecond // between two tellings
-		moments        = 3
+		nodes, targets   = 8, 20
+		sendInterval     = 20 * time.Millisecond  // between two attempts
+		duration         = 300 * time.Millisecond // of an attempt
+		exchangeInterval = 250 * time.Millisecond // between two exchanges of records
+		outages          = 3
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	var tables []*Table
 	for range nodes {
 		tables = append(tables, NewTable(DefaultConfig()))
 	}
-	for now := time.Duration(0); now < 10*time.Second; now += each {
+	for now := time.Duration(0); now < 10*time.Second; now += sendInterval {
 		n, target := tables[rng.IntN(nodes)], rng.IntN(targets)
 		if d := n.Begin(request, at(now)); d.Verdict != Free {
-			t.Fatalf("at %v a run gets %v after %d strikes", now, d.Verdict, d.Strikes)
+			t.Fatalf("at %v an attempt gets verdict %v after %d strikes", now, d.Verdict, d.Strikes)
 		}
 		n.Done(request)
 		ended := false
-		for m := range moments {
-			moment := time.Duration(m+1) * 2 * time.Second
-			if target < targets/4 && now < moment && now+length > moment {
-				n.Ended(request, uint32(target), at(now), at(moment), at(moment))
+		for m := range outages {
+			outage := time.Duration(m+1) * 2 * time.Second
+			if target < targets/4 && now < outage && now+duration > outage {
+				n.Ended(request, uint32(target), at(now), at(outage), at(outage))
 				ended = true
 			}
 		}
 		if !ended {
-			n.Completed(request, at(now+length))
+			n.Completed(request, at(now+duration))
 		}
-		if now%told == 0 {
+		if now%exchangeInterval == 0 {
 			for _, from := range tables {
 				for _, to := range tables {
 					to.Hear(from.Tell(at(now)), at(now+5*time.Millisecond))
@@ -155,90 +159,92 @@
 	}
 }
 
-// A request that keeps coming is run once more after a while. If that run is answered,
-// the quarantine was wrong and ends; if it ends its target, there is no other.
+// A quarantined request that is still received gets one trial attempt after a while. If it
+// completes, the quarantine was wrong and ends; if its target terminates, there is no other
+// trial.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
-	hold := DefaultConfig().Trial
-	began := at(2*time.Second + run)
+	trialDelay := DefaultConfig().TrialDelay
+	quarantinedAt := at(2*time.Second + latency)
 	for _, harmful := range []bool{false, true} {
-		tab := struck(3)
-		is.Equal(tab.Begin(request, began.Add(hold-time.Second)).Verdict, Quarantined)
-		d := tab.Begin(request, began.Add(hold))
+		tab := tableWithStrikes(3)
+		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay-time.Second)).Verdict, Quarantined)
+		d := tab.Begin(request, quarantinedAt.Add(trialDelay))
 		is.True(d.Trial && d.Counted && d.Verdict == Free)
-		is.Equal(tab.Begin(request, began.Add(hold)).Verdict, Busy)
+		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay)).Verdict, Busy)
 		tab.Done(request)
-		is.Equal(tab.Begin(request, began.Add(hold+time.Second)).Verdict, Quarantined) // one run only
+		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay+time.Second)).Verdict, Quarantined) // only one trial
 		if !harmful {
-			is.True(tab.Completed(request, began.Add(hold+2*time.Second)))
-			is.Equal(tab.Begin(request, began.Add(hold+3*time.Second)).Verdict, Free)
+			is.True(tab.Completed(request, quarantinedAt.Add(trialDelay+2*time.Second)))
+			is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay+3*time.Second)).Verdict, Free)
 			continue
 		}
-		strike(tab, request, 99, began.Add(hold))
-		for after := hold; after < time.Hour; after += 20 * time.Second {
-			is.Equal(tab.Begin(request, began.Add(after+time.Second)).Verdict, Quarantined)
-			tab.Tell(began.Add(after + time.Second))
+		strike(tab, request, 99, quarantinedAt.Add(trialDelay))
+		for after := trialDelay; after < time.Hour; after += 20 * time.Second {
+			is.Equal(tab.Begin(request, quarantinedAt.Add(after+time.Second)).Verdict, Quarantined)
+			tab.Tell(quarantinedAt.Add(after + time.Second))
 		}
 	}
 }
 
-// A request that no longer comes is forgotten.
-func TestQuarantineEndsWhenTheRequestNoLongerComes(t *testing.T) {
+// A request that is no longer received expires.
+func TestQuarantineExpires(t *testing.T) {
 	is := is.New(t)
-	tab := struck(3)
+	tab := tableWithStrikes(3)
 	is.Equal(tab.Begin(request, at(time.Minute)).Verdict, Quarantined)
-	tab.Tell(at(time.Minute + DefaultConfig().Hold - time.Second))
+	tab.Tell(at(time.Minute + DefaultConfig().Retention - time.Second))
 	is.Equal(tab.Len(), 1)
-	tab.Tell(at(time.Minute + DefaultConfig().Hold))
+	tab.Tell(at(time.Minute + DefaultConfig().Retention))
 	is.Equal(tab.Len(), 0)
 }
 
-// Nodes that tell each other of a request, late and again and again, don't keep it known.
-func TestTellingKeepsNothingKnown(t *testing.T) {
+// Nodes that send each other the same records, late and repeatedly, don't prolong their
+// retention.
+func TestPropagationDoesNotProlongRetention(t *testing.T) {
 	is := is.New(t)
-	a, b := struck(3), NewTable(DefaultConfig())
+	a, b := tableWithStrikes(3), NewTable(DefaultConfig())
 	const late = 700 * time.Millisecond
 	last := time.Duration(0)
-	for now := 3 * time.Second; now < 2*DefaultConfig().Hold; now += 300 * time.Millisecond {
+	for now := 3 * time.Second; now < 2*DefaultConfig().Retention; now += 300 * time.Millisecond {
 		b.Hear(a.Tell(at(now)), at(now+late))
 		a.Hear(b.Tell(at(now+late)), at(now+2*late))
 		if a.Len()+b.Len() > 0 {
 			last = now
 		}
 	}
-	is.True(last < DefaultConfig().Hold+10*time.Second)
+	is.True(last < DefaultConfig().Retention+10*time.Second)
 }
 
-// Callers that send many different requests take no more than the memory allowed, and
-// what is known of a harmful one stays.
+// Callers that send many different requests use no more than MaxEntries, and the entry of a
+// harmful request is not evicted.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
-	tab := struck(3)
+	tab := tableWithStrikes(3)
 	for i := range 100_000 {
-		tab.Ended(numbered(i+10), uint32(i), at(time.Minute), at(time.Minute+run), at(time.Minute+run))
+		tab.Ended(numbered(i+10), uint32(i), at(time.Minute), at(time.Minute+latency), at(time.Minute+latency))
 		is.True(tab.Len() <= DefaultConfig().MaxEntries)
 	}
 	is.Equal(tab.Begin(request, at(2*time.Minute)).Strikes, 3)
-	is.True(len(tab.Tell(at(2*time.Minute))) <= DefaultConfig().MaxTold)
+	is.True(len(tab.Tell(at(2*time.Minute))) <= DefaultConfig().MaxRecordsPerMessage)
 }
 
-// What others know of a request is told first if there is much to tell.
-func TestRequestsWithMostEndsAreToldFirst(t *testing.T) {
+// If there are more records than fit into a message, those with the most ends are sent first.
+func TestRequestsWithMostEndsAreSentFirst(t *testing.T) {
 	is := is.New(t)
-	tab := struck(2)
+	tab := tableWithStrikes(2)
 	for i := range 1000 {
-		tab.Ended(numbered(i+10), uint32(i), at(time.Second), at(time.Second+run), at(time.Second+run))
+		tab.Ended(numbered(i+10), uint32(i), at(time.Second), at(time.Second+latency), at(time.Second+latency))
 	}
-	is.Equal(tab.Tell(at(time.Second + run))[0].Request, request)
+	is.Equal(tab.Tell(at(time.Second + latency))[0].Request, request)
 }
 
-// A late message makes an end seem younger, and not another one.
-func TestLateMessagesAddNoStrikes(t *testing.T) {
+// A delayed message makes an end appear later than it was; this must not count as another end.
+func TestDelayedMessagesAddNoStrikes(t *testing.T) {
 	is := is.New(t)
-	a, b := struck(1), NewTable(DefaultConfig())
-	now := run
+	a, b := tableWithStrikes(1), NewTable(DefaultConfig())
+	now := latency
 	for range 20 {
-		now += 2 * time.Second // a node that waited for its processor
+		now += 2 * time.Second // a node that waited for CPU time
 		b.Hear([]Record{a.entries[request].record(request, at(now-2*time.Second))}, at(now))
 		a.Hear([]Record{b.entries[request].record(request, at(now-2*time.Second))}, at(now))
 	}
@@ -246,23 +252,22 @@
 	is.Equal(b.Begin(request, at(now)).Strikes, 1)
 }
 
-// A node that begins takes the quarantines from a note.
-func TestNote(t *testing.T) {
+// A node that starts loads the quarantines from the stored snapshot.
+func TestSnapshotRestoresQuarantines(t *testing.T) {
 	is := is.New(t)
-	from := struck(3)
+	from := tableWithStrikes(3)
 	strike(from, numbered(2), 1, at(2*time.Second))
-	noted := from.Note(at(4 * time.Second))
-	is.Equal(len(noted), 1) // suspects are not worth a write
+	snapshot := from.Snapshot(at(4 * time.Second))
+	is.Equal(len(snapshot), 1) // requests with fewer strikes are not stored
 	to := NewTable(DefaultConfig())
-	put, freed := to.Hear(noted, at(9*time.Second))
-	is.Equal(put, []Fingerprint{request})
-	is.Equal(len(freed), 0)
+	quarantined, released := to.Hear(snapshot, at(9*time.Second))
+	is.Equal(quarantined, []Fingerprint{request})
+	is.Equal(len(released), 0)
 	is.Equal(to.Begin(request, at(9*time.Second)).Verdict, Quarantined)
 }
 
-// News of several nodes give the same strikes in whatever order they come, and however
-// often.
-func TestNewsComeInAnyOrder(t *testing.T) {
+// Records of several nodes give the same strikes in any order and with any repetition.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, b := strikesInTwoOrders(r)
 		if a != b {
@@ -271,11 +276,11 @@
 	})
 }
 
-// strikesInTwoOrders has nodes see ends of targets, and tells them to another in two
-// orders.
+// strikesInTwoOrders generates terminations seen by several nodes, merges their records into two
+// new tables in two orders, and returns the strikes in each.
 func strikesInTwoOrders(r *rapid.T) (a, b int) {
-	const targets = 5 // each ends three times at most: fewer ends than are kept
-	var news [][]Record
+	const targets = 5 // each terminates at most three times, which is fewer than maxEnds
+	var records [][]Record
 	now := at(time.Minute)
 	for range rapid.IntRange(1, 12).Draw(r, "nodes") {
 		node := NewTable(DefaultConfig())
@@ -286,20 +291,20 @@
 		if rapid.Bool().Draw(r, "completed") {
 			node.Completed(request, at(time.Duration(rapid.IntRange(0, 20).Draw(r, "answer"))*time.Second))
 		}
-		news = append(news, []Record{node.entries[request].record(request, now)})
+		records = append(records, []Record{node.entries[request].record(request, now)})
 	}
 	strikes := func(order []int) int {
 		tab := NewTable(DefaultConfig())
 		for range 2 {
 			for _, i := range order {
-				tab.Hear(news[i], now)
+				tab.Hear(records[i], now)
 			}
 		}
 		return tab.entries[request].strikes()
 	}
-	straight := make([]int, len(news))
-	for i := range straight {
-		straight[i] = i
+	inOrder := make([]int, len(records))
+	for i := range inOrder {
+		inOrder[i] = i
 	}
-	return strikes(straight), strikes(rapid.Permutation(straight).Draw(r, "order"))
+	return strikes(inOrder), strikes(rapid.Permutation(inOrder).Draw(r, "order"))
 }
