--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -12,10 +12,10 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// pollInterval is how often a Keeper looks at its machine without a call.
+// pollInterval is the maximum time between two checks of the Machine while no call is due.
 const pollInterval = 200 * time.Millisecond
 
-// Keeper contends for a duty and holds it. It is safe for concurrent use.
+// Keeper is a candidate for a duty and holds it once acquired. It is safe for concurrent use.
 type Keeper struct {
 	store   store.Store
 	duty    string
@@ -27,8 +27,8 @@
 	machine *Machine
 }
 
-// NewKeeper returns a contender for the duty under the holder's name, on the
-// clock now.
+// NewKeeper returns a candidate for the duty. holder is the name written to the duty's key and
+// now is the clock.
 func NewKeeper(s store.Store, cfg Config, duty, holder string, m *Metrics, now func() time.Time) *Keeper {
 	return &Keeper{
 		store: s, duty: duty, holder: holder, metrics: m, now: now,
@@ -36,36 +36,37 @@
 	}
 }
 
-// Held returns the current term, checked against the clock now.
+// Held returns the current term. ok is false if there is none or it has expired on the holder's
+// clock.
 func (k *Keeper) Held() (Term, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Held(k.now())
 }
 
-// Lose ends the term because a newer fencing number was seen; the keeper then
-// contends again for a newer one.
+// Lose ends the term because a newer fencing number was seen. The keeper then tries to acquire
+// the duty again with a newer number.
 func (k *Keeper) Lose() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.machine.Lose()
 }
 
-// Fenced returns the compare that makes a store transaction fail unless the
-// term with this fencing number still holds the duty.
+// Fenced returns the compare that makes a store transaction fail unless the term with this
+// fencing number still holds the duty.
 func (k *Keeper) Fenced(fence int64) store.Compare {
 	return store.Compare{Key: Key(k.duty), ModRevision: fence}
 }
 
-// Run contends for the duty until ctx ends.
+// Run acquires and renews the duty until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.pause(ctx, k.Step(ctx))
+		k.wait(ctx, k.Step(ctx))
 	}
 }
 
-// Release gives the duty up. Run must have returned. It tries once: if the
-// store doesn't answer, the lease lapses by itself.
+// Release revokes the lease of the duty. Run must have returned. Release tries once: if the store
+// doesn't answer, the lease expires by itself.
 func (k *Keeper) Release(ctx context.Context) {
 	k.mu.Lock()
 	k.machine.Release()
@@ -73,25 +74,26 @@
 	k.Step(ctx)
 }
 
-// Step does the machine's next action and returns when to look again.
+// Step performs the machine's next action and returns when to call Step again; the zero time
+// means at once.
 func (k *Keeper) Step(ctx context.Context) time.Time {
 	k.mu.Lock()
 	action := k.machine.Next(k.now())
 	k.mu.Unlock()
-	k.report()
+	k.reportMetrics()
 	if action.Call == CallNone {
 		return action.At
 	}
-	r := k.do(ctx, action)
+	r := k.execute(ctx, action)
 	k.metrics.call(action.Call, r.Err)
 	k.mu.Lock()
 	k.machine.Observe(r)
 	k.mu.Unlock()
-	k.report()
+	k.reportMetrics()
 	return time.Time{}
 }
 
-func (k *Keeper) report() {
+func (k *Keeper) reportMetrics() {
 	k.mu.Lock()
 	_, held := k.machine.Held(k.now())
 	loss := k.machine.LastLoss()
@@ -99,7 +101,7 @@
 	k.metrics.term(k.duty, held, loss)
 }
 
-func (k *Keeper) pause(ctx context.Context, until time.Time) {
+func (k *Keeper) wait(ctx context.Context, until time.Time) {
 	d := min(until.Sub(k.now()), pollInterval)
 	if d <= 0 {
 		return
@@ -112,7 +114,7 @@
 	}
 }
 
-func (k *Keeper) do(ctx context.Context, a Action) Result {
+func (k *Keeper) execute(ctx context.Context, a Action) Result {
 	r := Result{Action: a, Sent: k.now()}
 	switch a.Call {
 	case CallProbe, CallReadBack:
@@ -142,7 +144,7 @@
 func (k *Keeper) create(ctx context.Context, a Action) (int64, bool, error) {
 	raw, err := json.Marshal(Record{Holder: k.holder, WriteID: a.WriteID})
 	if err != nil {
-		return 0, false, errors.Wrap(err, "lease: encode")
+		return 0, false, errors.Wrap(err, "lease: encode duty record")
 	}
 	return k.store.Commit(ctx, store.Txn{
 		Compares: []store.Compare{{Key: Key(k.duty)}},
@@ -150,7 +152,8 @@
 	})
 }
 
-// ParseRecord decodes a duty's key.
+// ParseRecord decodes the value of a duty's key. It returns an error if the value is no JSON
+// object of a Record.
 func ParseRecord(kv store.KV) (Record, error) {
 	var rec Record
 	err := json.Unmarshal(kv.Value, &rec)
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -15,7 +15,7 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// stores are the adapters that a Keeper runs on.
+// stores returns the store adapters that the Keeper is tested with.
 func stores(t *testing.T) map[string]store.Store {
 	inMemory := memory.New(time.Now)
 	ws := new(restful.WebService)
@@ -32,13 +32,13 @@
 
 func TestKeeperHandsOver(t *testing.T) {
 	for name, s := range stores(t) {
-		t.Run(name, func(t *testing.T) { handOver(t, s) })
+		t.Run(name, func(t *testing.T) { testHandover(t, s) })
 	}
 }
 
-// handOver runs two keepers: the second holds after the first has released,
-// with a greater fencing number, and writes fenced by the first's term fail.
-func handOver(t *testing.T, s store.Store) {
+// testHandover runs two keepers: the second holds the duty after the first has released it, with
+// a greater fencing number, and writes fenced by the first's term fail.
+func testHandover(t *testing.T, s store.Store) {
 	is := is.New(t)
 	m := NewMetrics(prometheus.NewRegistry())
 	cfg := DefaultConfig()
@@ -49,7 +49,7 @@
 	ctxA, stopA := context.WithCancel(context.Background())
 	doneA := make(chan struct{})
 	go func() { defer close(doneA); a.Run(ctxA) }()
-	first := await(t, a)
+	first := waitForTerm(t, a)
 
 	ctxB, stopB := context.WithCancel(context.Background())
 	defer stopB()
@@ -60,7 +60,7 @@
 	_, held := a.Held()
 	is.True(!held)
 
-	second := await(t, b)
+	second := waitForTerm(t, b)
 	is.True(second.Fence > first.Fence)
 	kv, ok, err := s.Get(context.Background(), Key("d"))
 	is.NoErr(err)
@@ -79,13 +79,13 @@
 	is.Equal(rec.Holder, "b")
 }
 
-func await(t *testing.T, k *Keeper) Term {
+func waitForTerm(t *testing.T, k *Keeper) Term {
 	for t.Context().Err() == nil {
 		if term, ok := k.Held(); ok {
 			return term
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("not held")
+	t.Fatal("duty not acquired")
 	return Term{}
 }
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -1,6 +1,6 @@
-// Package lease lets one node at a time hold a named duty. The duty is a key
-// in the platform's store that is bound to a store lease; the key's creation
-// revision is the fencing number of the term.
+// Package lease lets one node at a time hold a duty, a named role that must have a single holder.
+// The duty is a key in the platform's store that is bound to a store lease; the revision that
+// created the key is the fencing number of the term.
 //
 // Machine decides and does no I/O; Keeper runs it against a store.Store.
 package lease
@@ -13,7 +13,7 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Prefix is the root of the duty keys.
+// Prefix precedes the name of a duty in its store key.
 const Prefix = "/knapweedgw/duties/"
 
 // Key returns the store key of a duty.
@@ -21,68 +21,68 @@
 
 // Config holds the durations of a term.
 type Config struct {
-	// TTL is the time after its last renewal at which the store ends the
-	// lease.
+	// TTL is how long after its last renewal the store expires the lease.
 	TTL time.Duration
-	// Margin is how much earlier the holder stops believing in its lease. It
-	// covers clocks whose rates differ by up to Margin/(TTL-Margin).
+	// Margin is how much earlier than the store the holder treats its lease as expired. It covers
+	// clocks whose rates differ by up to Margin/(TTL-Margin).
 	Margin time.Duration
-	// RenewEvery is the time between the starts of two renewals, and between
-	// two looks at a duty that another holds.
+	// RenewEvery is the time between the starts of two renewals, and between two reads of the key
+	// of a duty that another node holds.
 	RenewEvery time.Duration
-	// Retry is the wait before a failed call is repeated.
+	// Retry is the delay before a failed call is repeated.
 	Retry time.Duration
 }
 
-// DefaultTTL lets another node take over within some twenty seconds.
+// DefaultTTL lets another node take over within about 20 s.
 const DefaultTTL = 15 * time.Second
 
-// DefaultConfig is ConfigFor(DefaultTTL).
+// DefaultConfig returns ConfigFor(DefaultTTL).
 func DefaultConfig() Config { return ConfigFor(DefaultTTL) }
 
-// ConfigFor returns durations in proportion to a TTL. They cover clock rates
-// that differ by up to 11% and two failed renewals.
+// ConfigFor returns durations in proportion to a TTL. They tolerate clock rates that differ by up
+// to 11% and two failed renewals.
 func ConfigFor(ttl time.Duration) Config {
 	return Config{TTL: ttl, Margin: ttl / 10, RenewEvery: ttl / 3, Retry: ttl * 2 / 15}
 }
 
-// Validate reports the first fault with its remedy.
+// Validate returns an error for the first invalid duration, with a remedy.
 func (c Config) Validate() error {
 	switch {
 	case c.Margin <= 0 || c.Margin >= c.TTL:
 		return errors.New("lease: margin is not between 0 and the TTL: use a tenth of the TTL")
 	case c.RenewEvery <= 0 || c.RenewEvery >= c.TTL-c.Margin:
-		return errors.New("lease: renewals come too late: use a third of the TTL")
+		return errors.New("lease: renewal interval is not between 0 and the TTL minus the margin: use a third of the TTL")
 	case c.Retry <= 0:
-		return errors.New("lease: retry is not positive: use 2s")
+		return errors.New("lease: retry delay is not positive: use 2s")
 	}
 	return nil
 }
 
-// Call is what the machine wants done.
+// Call is an operation that the Machine requests.
 type Call int
 
 // The calls of an Action.
 const (
-	// CallNone asks to wait until Action.At.
+	// CallNone means wait until Action.At.
 	CallNone Call = iota
-	// CallProbe reads the duty's key to see whether it is free.
+	// CallProbe reads the duty's key to find out whether the duty is free.
 	CallProbe
-	// CallGrant makes a store lease.
+	// CallGrant creates a store lease.
 	CallGrant
 	// CallCreate creates the duty's key, bound to the lease.
 	CallCreate
-	// CallReadBack reads the key to settle an uncertain creation.
+	// CallReadBack reads the key to find out whether a creation with an uncertain outcome took
+	// effect.
 	CallReadBack
 	// CallRenew renews the store lease.
 	CallRenew
-	// CallRevoke ends the store lease.
+	// CallRevoke revokes the store lease.
 	CallRevoke
 )
 
 var callNames = [...]string{"none", "probe", "grant", "create", "read_back", "renew", "revoke"}
 
-// String returns the call's name in metrics.
+// String returns the value of the call's metric label.
 func (c Call) String() string { return callNames[c] }
 
 // Action is the machine's next step.
@@ -107,32 +107,32 @@
 	Record   Record        // of CallProbe and CallReadBack
 }
 
-// Record is the duty's key as read from the store.
+// Record is the value of a duty's key and the revision that wrote it.
 type Record struct {
 	Holder   string `json:"holder"`
 	WriteID  string `json:"write_id"`
 	Revision int64  `json:"-"`
 }
 
-// Term is one unbroken hold of a duty.
+// Term is one uninterrupted period of holding a duty.
 type Term struct {
-	// Fence is the fencing number. A later term's is greater, also across
-	// duties, because it is a revision of the store.
+	// Fence is the fencing number. Later terms have greater numbers, also across duties, because
+	// it is a revision of the store.
 	Fence int64
-	// Until is when the holder stops believing, on its own clock.
+	// Until is when the holder treats the term as expired, on its own clock.
 	Until time.Time
 }
 
-// Loss says why a term ended.
+// Loss is the reason for which a term ended.
 type Loss string
 
 // The reasons for which a term ends.
 const (
 	LossNone     Loss = ""
-	LossLapsed   Loss = "lapsed"    // no renewal succeeded in time
-	LossNotFound Loss = "not_found" // the store had ended the lease
+	LossLapsed   Loss = "lapsed"    // expired: no renewal succeeded in time
+	LossNotFound Loss = "not_found" // the store had expired or revoked the lease
 	LossFenced   Loss = "fenced"    // a newer fencing number was seen
-	LossReleased Loss = "released"  // the holder stopped
+	LossReleased Loss = "released"  // the holder released the duty
 )
 
 type phase int
@@ -147,61 +147,62 @@
 	phaseStopped
 )
 
-// Machine is the state of one contender for a duty. It isn't safe for
-// concurrent use. Exactly one Observe follows each Next that returns a call.
+// Machine is the state machine of one candidate for a duty. It isn't safe for concurrent use.
+// Exactly one Observe follows each Next that returns a call.
 type Machine struct {
-	cfg     Config
-	writeID func() string
-
-	phase    phase
-	wake     time.Time // not before
-	lease    store.LeaseID
-	write    string
-	fence    int64
-	renewed  time.Time // send time of the last renewal that succeeded
-	stopping bool
-	loss     Loss
-	holder   string // as last read
+	cfg        Config
+	newWriteID func() string
+
+	phase          phase
+	notBefore      time.Time // no action is due earlier
+	lease          store.LeaseID
+	currentWriteID string
+	fence          int64
+	renewedAt      time.Time // send time of the last renewal that succeeded
+	stopping       bool
+	loss           Loss
+	holder         string // holder of the duty when it was last read
 }
 
-// NewMachine returns a contender that doesn't hold the duty. writeID must
-// return a new unique ID at each call.
-func NewMachine(cfg Config, writeID func() string) *Machine {
-	return &Machine{cfg: cfg, writeID: writeID}
+// NewMachine returns a candidate that doesn't hold the duty. newWriteID must return a new unique ID
+// at each call.
+func NewMachine(cfg Config, newWriteID func() string) *Machine {
+	return &Machine{cfg: cfg, newWriteID: newWriteID}
 }
 
-// Held returns the current term. ok is false once the time since the last
-// successful renewal was sent exceeds TTL minus margin.
+// Held returns the current term. ok is false if there is none, or once at least TTL minus Margin
+// has elapsed since the last successful renewal was sent.
 func (m *Machine) Held(now time.Time) (t Term, ok bool) {
-	if m.phase != phaseHeld || elapsed(m.renewed, now) >= m.cfg.TTL-m.cfg.Margin {
+	if m.phase != phaseHeld || elapsed(m.renewedAt, now) >= m.cfg.TTL-m.cfg.Margin {
 		return Term{}, false
 	}
-	return Term{Fence: m.fence, Until: m.renewed.Add(m.cfg.TTL - m.cfg.Margin)}, true
+	return Term{Fence: m.fence, Until: m.renewedAt.Add(m.cfg.TTL - m.cfg.Margin)}, true
 }
 
-// Holder returns who held the duty when it was last read.
+// Holder returns the holder of the duty when it was last read.
 func (m *Machine) Holder() string { return m.holder }
 
-// LastLoss returns why the last term ended.
+// LastLoss returns why the last term ended; LossNone while a term is held or before the first
+// one.
 func (m *Machine) LastLoss() Loss { return m.loss }
 
-// Next returns what to do at the given time.
+// Next returns the action to perform at the given time.
 func (m *Machine) Next(now time.Time) Action {
-	if m.phase == phaseHeld && !m.believes(now) {
+	if m.phase == phaseHeld && !m.isHeld(now) {
 		m.lose(LossLapsed)
 	}
-	if m.phase == phaseStopped || now.Before(m.wake) {
-		return Action{Call: CallNone, At: m.wake}
+	if m.phase == phaseStopped || now.Before(m.notBefore) {
+		return Action{Call: CallNone, At: m.notBefore}
 	}
 	switch m.phase {
 	case phaseIdle:
-		return m.idle()
+		return m.nextIdle()
 	case phaseGrant:
 		return Action{Call: CallGrant}
 	case phaseCreate:
-		return Action{Call: CallCreate, Lease: m.lease, WriteID: m.write}
+		return Action{Call: CallCreate, Lease: m.lease, WriteID: m.currentWriteID}
 	case phaseReadBack:
-		return Action{Call: CallReadBack, WriteID: m.write}
+		return Action{Call: CallReadBack, WriteID: m.currentWriteID}
 	case phaseHeld:
 		return Action{Call: CallRenew, Lease: m.lease}
 	default:
@@ -209,7 +210,7 @@
 	}
 }
 
-func (m *Machine) idle() Action {
+func (m *Machine) nextIdle() Action {
 	if m.stopping {
 		m.phase = phaseStopped
 		return Action{Call: CallNone}
@@ -217,8 +218,8 @@
 	return Action{Call: CallProbe}
 }
 
-// believes says whether the term goes on.
-func (m *Machine) believes(now time.Time) bool {
+// isHeld reports whether the term has not expired.
+func (m *Machine) isHeld(now time.Time) bool {
 	_, ok := m.Held(now)
 	return ok
 }
@@ -230,10 +231,10 @@
 	}
 }
 
-// Release ends the term, if any, and contends no more.
+// Release ends the term, if any, and makes the machine stop once its lease is revoked.
 func (m *Machine) Release() {
 	m.stopping = true
-	m.wake = time.Time{}
+	m.notBefore = time.Time{}
 	switch m.phase {
 	case phaseHeld:
 		m.lose(LossReleased)
@@ -244,18 +245,17 @@
 	}
 }
 
-// Stopped says that the machine has released the duty and does no more.
+// Stopped reports whether the machine has released the duty and performs no more calls.
 func (m *Machine) Stopped() bool { return m.phase == phaseStopped }
 
-func (m *Machine) lose(why Loss) {
-	m.loss = why
+func (m *Machine) lose(reason Loss) {
+	m.loss = reason
 	m.phase = phaseRevoke
-	m.wake = time.Time{}
+	m.notBefore = time.Time{}
 }
 
-// elapsed returns the larger of the monotonic and the wall-clock time since
-// then, so that a clock that stood still while the VM was suspended doesn't
-// prolong a term if the other one went on.
+// elapsed returns the larger of the monotonic and the wall-clock time since then. A clock that
+// stopped while the VM was suspended doesn't prolong a term if the other clock advanced.
 func elapsed(then, now time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -13,329 +13,330 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// contender runs a Machine in steps, on a clock of its own rate. A call has
-// three: it is sent, it takes effect, its answer arrives or is lost.
-type contender struct {
-	m        *Machine
-	rate     float64
-	sent     bool
-	effected bool
-	result   Result
+// candidate runs a Machine step by step, on a clock with its own rate. A call has three steps: it
+// is sent, it takes effect in the store, and its response arrives or is lost.
+type candidate struct {
+	m       *Machine
+	rate    float64
+	sent    bool
+	applied bool
+	result  Result
 }
 
-// world is the true time, the store that follows it, and the contenders.
-type world struct {
-	now    time.Time
-	store  *memory.Store
-	all    []*contender
-	late   []func() // calls whose effect comes after their answer was lost
-	fences []int64
-	start  time.Time
+// simulation holds the reference time, the store that uses it, and the candidates.
+type simulation struct {
+	now        time.Time
+	store      *memory.Store
+	candidates []*candidate
+	delayed    []func() // calls that take effect after their response was lost
+	fences     []int64
+	start      time.Time
 }
 
-func newWorld(rates ...float64) *world {
-	w := &world{now: time.Unix(1000, 0)}
-	w.start = w.now
-	w.store = memory.New(func() time.Time { return w.now })
+func newSimulation(rates ...float64) *simulation {
+	s := &simulation{now: time.Unix(1000, 0)}
+	s.start = s.now
+	s.store = memory.New(func() time.Time { return s.now })
 	for i, rate := range rates {
 		n := 0
 		id := func() string { n++; return fmt.Sprintf("%d-%d", i, n) }
-		w.all = append(w.all, &contender{m: NewMachine(DefaultConfig(), id), rate: rate})
+		s.candidates = append(s.candidates, &candidate{m: NewMachine(DefaultConfig(), id), rate: rate})
 	}
-	return w
+	return s
 }
 
-func (w *world) clock(c *contender) time.Time {
-	return w.start.Add(time.Duration(float64(w.now.Sub(w.start)) * c.rate))
+func (s *simulation) clock(c *candidate) time.Time {
+	return s.start.Add(time.Duration(float64(s.now.Sub(s.start)) * c.rate))
 }
 
-func (w *world) keeper(c *contender) *Keeper {
-	return &Keeper{store: w.store, duty: "d", holder: "h", now: func() time.Time { return w.clock(c) }, machine: c.m}
+func (s *simulation) keeper(c *candidate) *Keeper {
+	return &Keeper{store: s.store, duty: "d", holder: "h", now: func() time.Time { return s.clock(c) }, machine: c.m}
 }
 
-func (w *world) send(c *contender) {
+func (s *simulation) send(c *candidate) {
 	if c.sent {
 		return
 	}
-	a := c.m.Next(w.clock(c))
+	a := c.m.Next(s.clock(c))
 	if a.Call == CallNone {
 		return
 	}
-	c.sent, c.effected = true, false
-	c.result = Result{Action: a, Sent: w.clock(c)}
+	c.sent, c.applied = true, false
+	c.result = Result{Action: a, Sent: s.clock(c)}
 }
 
-func (w *world) effect(c *contender) {
-	if !c.sent || c.effected {
+func (s *simulation) apply(c *candidate) {
+	if !c.sent || c.applied {
 		return
 	}
-	c.effected = true
+	c.applied = true
 	sent := c.result.Sent
-	c.result = w.keeper(c).do(context.Background(), c.result.Action)
+	c.result = s.keeper(c).execute(context.Background(), c.result.Action)
 	c.result.Sent = sent
 }
 
-func (w *world) answer(c *contender, err error) {
-	if !c.sent || (err == nil && !c.effected) {
+func (s *simulation) respond(c *candidate, err error) {
+	if !c.sent || (err == nil && !c.applied) {
 		return
 	}
 	c.sent = false
 	if err != nil {
 		c.result = Result{Action: c.result.Action, Sent: c.result.Sent, Err: err}
 	}
-	c.result.Done = w.clock(c)
+	c.result.Done = s.clock(c)
 	c.m.Observe(c.result)
 }
 
-// lose loses the answer; a call that hasn't taken effect does so later.
-func (w *world) lose(c *contender) {
-	if c.sent && !c.effected {
+// loseResponse makes the response of the pending call get lost. A call that hasn't taken effect
+// yet does so later.
+func (s *simulation) loseResponse(c *candidate) {
+	if c.sent && !c.applied {
 		a := c.result.Action
-		w.late = append(w.late, func() { w.keeper(c).do(context.Background(), a) })
+		s.delayed = append(s.delayed, func() { s.keeper(c).execute(context.Background(), a) })
 	}
-	w.answer(c, store.ErrUncertain)
+	s.respond(c, store.ErrUncertain)
 }
 
-// whole runs one call to its end at once.
-func (w *world) whole(c *contender) {
-	w.send(c)
-	w.effect(c)
-	w.answer(c, nil)
+// complete runs one call from sending to response at once.
+func (s *simulation) complete(c *candidate) {
+	s.send(c)
+	s.apply(c)
+	s.respond(c, nil)
 }
 
-// holders returns how many contenders believe now, and notes each new
-// fencing number. Whoever believes must have the key in the store.
-func (w *world) holders(t *rapid.T) int {
+// holders returns how many candidates hold the duty by their own clocks, and records each new
+// fencing number. The store must have the key of each of them.
+func (s *simulation) holders(t *rapid.T) int {
 	n := 0
-	kv, _, _ := w.store.Get(context.Background(), Key("d"))
-	for _, c := range w.all {
-		term, ok := c.m.Held(w.clock(c))
+	kv, _, _ := s.store.Get(context.Background(), Key("d"))
+	for _, c := range s.candidates {
+		term, ok := c.m.Held(s.clock(c))
 		if !ok {
 			continue
 		}
 		n++
 		if kv.ModRevision != term.Fence {
-			t.Fatalf("believes in %d while the store has %d, at %v", term.Fence, kv.ModRevision, w.now.Sub(w.start))
+			t.Fatalf("candidate holds term %d while the store has revision %d, at %v", term.Fence, kv.ModRevision, s.now.Sub(s.start))
 		}
-		if len(w.fences) == 0 || w.fences[len(w.fences)-1] != term.Fence {
-			w.fences = append(w.fences, term.Fence)
+		if len(s.fences) == 0 || s.fences[len(s.fences)-1] != term.Fence {
+			s.fences = append(s.fences, term.Fence)
 		}
 	}
 	return n
 }
 
-// TestOneHolder checks, at every instant of generated runs, that at most one
-// contender believes, and that fencing numbers strictly grow. Clock rates
-// differ from the store's by up to 10%.
+// TestOneHolder checks, at every step of generated runs, that at most one candidate holds the
+// duty, and that fencing numbers strictly increase. Clock rates differ from the store's by up to
+// 10%.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.9, 0.97, 1, 1.1})
-		w := newWorld(rate.Draw(t, "rate0"), rate.Draw(t, "rate1"))
+		s := newSimulation(rate.Draw(t, "rate0"), rate.Draw(t, "rate1"))
 		steps := rapid.IntRange(300, 900).Draw(t, "steps")
 		for range steps {
-			w.step(t)
-			if n := w.holders(t); n > 1 {
-				t.Fatalf("%d holders at %v", n, w.now.Sub(w.start))
+			s.step(t)
+			if n := s.holders(t); n > 1 {
+				t.Fatalf("%d holders at %v", n, s.now.Sub(s.start))
 			}
-			for i := 1; i < len(w.fences); i++ {
-				if w.fences[i] <= w.fences[i-1] {
-					t.Fatalf("fencing numbers don't grow: %v", w.fences)
+			for i := 1; i < len(s.fences); i++ {
+				if s.fences[i] <= s.fences[i-1] {
+					t.Fatalf("fencing numbers don't increase: %v", s.fences)
 				}
 			}
 		}
 	})
 }
 
-func (w *world) step(t *rapid.T) {
-	c := rapid.SampledFrom(w.all).Draw(t, "who")
+func (s *simulation) step(t *rapid.T) {
+	c := rapid.SampledFrom(s.candidates).Draw(t, "who")
 	switch rapid.IntRange(0, 15).Draw(t, "step") {
 	case 0, 1, 2:
-		w.whole(c)
+		s.complete(c)
 	case 3:
-		w.send(c)
+		s.send(c)
 	case 4:
-		w.effect(c)
+		s.apply(c)
 	case 5:
-		w.answer(c, nil)
+		s.respond(c, nil)
 	case 6:
-		w.answer(c, store.ErrUnavailable)
+		s.respond(c, store.ErrUnavailable)
 	case 7:
-		w.lose(c)
+		s.loseResponse(c)
 	case 8:
-		for _, f := range w.late {
+		for _, f := range s.delayed {
 			f()
 		}
-		w.late = nil
+		s.delayed = nil
 	case 9:
-		w.now = w.now.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, "pause")) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(t, "pause")) * time.Millisecond)
 	case 10:
-		w.now = w.now.Add(time.Duration(rapid.IntRange(0, 2_000).Draw(t, "wait")) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(rapid.IntRange(0, 2_000).Draw(t, "wait")) * time.Millisecond)
 	case 11:
 		c.m.Lose()
 	case 12, 13:
-		w.untilEnd(c)
+		s.advanceToExpiry(c)
 	case 14, 15:
-		w.slow(c, time.Duration(rapid.IntRange(0, 5_000).Draw(t, "before"))*time.Millisecond,
+		s.completeWithDelays(c, time.Duration(rapid.IntRange(0, 5_000).Draw(t, "before"))*time.Millisecond,
 			time.Duration(rapid.IntRange(0, 5_000).Draw(t, "after"))*time.Millisecond)
 	}
 }
 
-// slow runs one call that takes some time before and after its effect.
-func (w *world) slow(c *contender, before, after time.Duration) {
-	w.send(c)
-	w.now = w.now.Add(before)
-	w.effect(c)
-	w.now = w.now.Add(after)
-	w.answer(c, nil)
+// completeWithDelays runs one call with delays before and after its effect.
+func (s *simulation) completeWithDelays(c *candidate, before, after time.Duration) {
+	s.send(c)
+	s.now = s.now.Add(before)
+	s.apply(c)
+	s.now = s.now.Add(after)
+	s.respond(c, nil)
 }
 
-// untilEnd goes on to the last moment at which a holder believes.
-func (w *world) untilEnd(c *contender) {
-	term, ok := c.m.Held(w.clock(c))
+// advanceToExpiry advances the time to 10 ms, on the candidate's clock, before its term expires.
+func (s *simulation) advanceToExpiry(c *candidate) {
+	term, ok := c.m.Held(s.clock(c))
 	if !ok {
 		return
 	}
-	left := term.Until.Sub(w.clock(c)) - 10*time.Millisecond
-	w.now = w.now.Add(max(0, time.Duration(float64(left)/c.rate)))
+	left := term.Until.Sub(s.clock(c)) - 10*time.Millisecond
+	s.now = s.now.Add(max(0, time.Duration(float64(left)/c.rate)))
 }
 
-// TestHeldAgain checks that with a store that answers, some contender holds
-// within three TTLs, whatever went before.
+// TestHeldAgain checks that, once the store answers, some candidate holds the duty within three
+// TTLs, whatever faults came before.
 func TestHeldAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(1, 1)
+		s := newSimulation(1, 1)
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
-			w.step(t)
+			s.step(t)
 		}
-		for _, c := range w.all {
-			w.lose(c)
+		for _, c := range s.candidates {
+			s.loseResponse(c)
 		}
-		deadline := w.now.Add(3 * DefaultConfig().TTL)
-		for w.now.Before(deadline) {
-			w.now = w.now.Add(500 * time.Millisecond)
-			for _, c := range w.all {
-				w.whole(c)
+		deadline := s.now.Add(3 * DefaultConfig().TTL)
+		for s.now.Before(deadline) {
+			s.now = s.now.Add(500 * time.Millisecond)
+			for _, c := range s.candidates {
+				s.complete(c)
 			}
 		}
-		if w.holders(t) != 1 {
-			t.Fatalf("%d holders", w.holders(t))
+		if s.holders(t) != 1 {
+			t.Fatalf("%d holders, want 1", s.holders(t))
 		}
 	})
 }
 
-// TestPauseBetweenCheckAndAct states what no lease can prevent: a holder that
-// is paused after its check acts when another holds. Its fencing number is
-// the smaller one, so that a target that checks refuses it.
+// TestPauseBetweenCheckAndAct shows a case that no lease can prevent: a holder that is paused
+// after its check acts while another node holds the duty. Its fencing number is the smaller one,
+// so that a target that checks fencing numbers refuses the action.
 func TestPauseBetweenCheckAndAct(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 1)
+	s := newSimulation(1, 1)
 	for range 3 {
-		w.whole(w.all[0])
+		s.complete(s.candidates[0])
 	}
-	checked, ok := w.all[0].m.Held(w.clock(w.all[0]))
+	checked, ok := s.candidates[0].m.Held(s.clock(s.candidates[0]))
 	is.True(ok)
-	w.now = w.now.Add(20 * time.Second) // paused here, after the check
+	s.now = s.now.Add(20 * time.Second) // paused here, after the check
 	for range 3 {
-		w.whole(w.all[1])
+		s.complete(s.candidates[1])
 	}
-	current, ok := w.all[1].m.Held(w.clock(w.all[1]))
+	current, ok := s.candidates[1].m.Held(s.clock(s.candidates[1]))
 	is.True(ok)
 	is.True(current.Fence > checked.Fence)
-	_, ok = w.all[0].m.Held(w.clock(w.all[0]))
+	_, ok = s.candidates[0].m.Held(s.clock(s.candidates[0]))
 	is.True(!ok) // a check after the pause fails
 }
 
-// TestFaults is the table of single faults.
+// TestFaults covers single faults.
 func TestFaults(t *testing.T) {
-	acquire := func(w *world, c *contender) {
+	acquire := func(s *simulation, c *candidate) {
 		for range 3 {
-			w.whole(c)
+			s.complete(c)
 		}
 	}
 	tests := []struct {
 		name string
-		run  func(w *world, c *contender)
+		run  func(s *simulation, c *candidate)
 		held bool
 		loss Loss
 	}{
 		{"acquired", acquire, true, LossNone},
-		{"creation's answer lost, read back", func(w *world, c *contender) {
-			w.whole(c)
-			w.whole(c)
-			w.send(c)
-			w.effect(c)
-			w.lose(c)
-			w.whole(c)
+		{"creation response lost, read back", func(s *simulation, c *candidate) {
+			s.complete(c)
+			s.complete(c)
+			s.send(c)
+			s.apply(c)
+			s.loseResponse(c)
+			s.complete(c)
 		}, true, LossNone},
-		{"creation lost and read back too early, then effective", func(w *world, c *contender) {
-			w.whole(c)
-			w.whole(c)
-			w.send(c)
-			w.lose(c)
-			w.whole(c) // reads nothing
-			w.late[0]()
-			w.now = w.now.Add(DefaultConfig().Retry)
-			w.whole(c) // creation refused: the key is there
-			w.whole(c) // and is its own
+		{"creation delayed: read back before it takes effect", func(s *simulation, c *candidate) {
+			s.complete(c)
+			s.complete(c)
+			s.send(c)
+			s.loseResponse(c)
+			s.complete(c) // reads no key
+			s.delayed[0]()
+			s.now = s.now.Add(DefaultConfig().Retry)
+			s.complete(c) // creation refused: the key exists
+			s.complete(c) // read back: the key has the candidate's write ID
 		}, true, LossNone},
-		{"renewed through lost answers", func(w *world, c *contender) {
-			acquire(w, c)
+		{"renewed although responses were lost", func(s *simulation, c *candidate) {
+			acquire(s, c)
 			for range 5 {
-				w.now = w.now.Add(5 * time.Second)
-				w.send(c)
-				w.effect(c)
-				w.lose(c)
-				w.now = w.now.Add(2 * time.Second)
-				w.whole(c)
+				s.now = s.now.Add(5 * time.Second)
+				s.send(c)
+				s.apply(c)
+				s.loseResponse(c)
+				s.now = s.now.Add(2 * time.Second)
+				s.complete(c)
 			}
 		}, true, LossNone},
-		{"outage longer than the TTL", func(w *world, c *contender) {
-			acquire(w, c)
-			w.now = w.now.Add(14 * time.Second)
-			w.send(c)
-			w.answer(c, store.ErrUnavailable)
+		{"outage longer than the TTL", func(s *simulation, c *candidate) {
+			acquire(s, c)
+			s.now = s.now.Add(14 * time.Second)
+			s.send(c)
+			s.respond(c, store.ErrUnavailable)
 		}, false, LossLapsed},
-		{"late renewal of a live lease", func(w *world, c *contender) {
-			acquire(w, c)
-			w.now = w.now.Add(6 * time.Second)
-			w.send(c)
-			w.effect(c)
-			w.now = w.now.Add(8 * time.Second)
-			w.answer(c, nil)
+		{"late response to a renewal before the lease expires", func(s *simulation, c *candidate) {
+			acquire(s, c)
+			s.now = s.now.Add(6 * time.Second)
+			s.send(c)
+			s.apply(c)
+			s.now = s.now.Add(8 * time.Second)
+			s.respond(c, nil)
 		}, true, LossNone},
-		{"answer later than the TTL", func(w *world, c *contender) {
-			acquire(w, c)
-			w.now = w.now.Add(6 * time.Second)
-			w.send(c)
-			w.effect(c)
-			w.now = w.now.Add(14 * time.Second)
-			w.answer(c, nil)
-			w.send(c)
+		{"response later than the TTL", func(s *simulation, c *candidate) {
+			acquire(s, c)
+			s.now = s.now.Add(6 * time.Second)
+			s.send(c)
+			s.apply(c)
+			s.now = s.now.Add(14 * time.Second)
+			s.respond(c, nil)
+			s.send(c)
 		}, false, LossLapsed},
-		{"revoked by the platform", func(w *world, c *contender) {
-			acquire(w, c)
-			_ = w.store.Revoke(context.Background(), c.m.lease)
-			w.now = w.now.Add(6 * time.Second)
-			w.whole(c)
+		{"revoked by the platform", func(s *simulation, c *candidate) {
+			acquire(s, c)
+			_ = s.store.Revoke(context.Background(), c.m.lease)
+			s.now = s.now.Add(6 * time.Second)
+			s.complete(c)
 		}, false, LossNotFound},
-		{"newer fencing number seen", func(w *world, c *contender) {
-			acquire(w, c)
+		{"newer fencing number seen", func(s *simulation, c *candidate) {
+			acquire(s, c)
 			c.m.Lose()
 		}, false, LossFenced},
-		{"released", func(w *world, c *contender) {
-			acquire(w, c)
+		{"released", func(s *simulation, c *candidate) {
+			acquire(s, c)
 			c.m.Release()
-			w.whole(c)
+			s.complete(c)
 		}, false, LossReleased},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1)
-			tt.run(w, w.all[0])
-			_, held := w.all[0].m.Held(w.clock(w.all[0]))
+			s := newSimulation(1)
+			tt.run(s, s.candidates[0])
+			_, held := s.candidates[0].m.Held(s.clock(s.candidates[0]))
 			is.Equal(held, tt.held)
-			is.Equal(w.all[0].m.LastLoss(), tt.loss)
+			is.Equal(s.candidates[0].m.LastLoss(), tt.loss)
 		})
 	}
 }
--- a/lease/metrics.go
+++ b/lease/metrics.go
@@ -12,7 +12,8 @@
 
 const subsystem = "lease"
 
-// Metrics counts the store calls and the ends of terms of a node's keepers.
+// Metrics counts the store calls and the ended terms of a node's keepers, and reports the duties
+// held.
 type Metrics struct {
 	calls *prometheus.CounterVec
 	lost  *prometheus.CounterVec
@@ -38,7 +39,7 @@
 	m.calls.WithLabelValues(c.String(), outcome(err)).Inc()
 }
 
-// term notes whether a duty is held, and counts the end of a term.
+// term records whether a duty is held, and counts the end of a term.
 func (m *Metrics) term(duty string, held bool, loss Loss) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lease/observe.go
+++ b/lease/observe.go
@@ -8,7 +8,7 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Observe takes the outcome of the last Action.
+// Observe applies the outcome of the last Action.
 func (m *Machine) Observe(r Result) {
 	if m.phase == phaseStopped {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-func (m *Machine) retry(r Result) { m.wake = r.Done.Add(m.cfg.Retry) }
+func (m *Machine) retry(r Result) { m.notBefore = r.Done.Add(m.cfg.Retry) }
 
 func (m *Machine) observeProbe(r Result) {
 	if m.phase != phaseIdle {
@@ -41,14 +41,14 @@
 	}
 	m.holder = r.Record.Holder
 	if r.Found {
-		m.wake = r.Done.Add(m.cfg.RenewEvery)
+		m.notBefore = r.Done.Add(m.cfg.RenewEvery)
 		return
 	}
 	m.phase = phaseGrant
 }
 
-// observeGrant starts the lease's life at the send time: the store can't have
-// started it earlier.
+// observeGrant counts the TTL of the lease from the send time: the store can't have started it
+// earlier.
 func (m *Machine) observeGrant(r Result) {
 	if m.phase != phaseGrant {
 		return
@@ -59,8 +59,8 @@
 		return
 	}
 	m.lease = r.Lease
-	m.renewed = r.Sent
-	m.write = m.writeID()
+	m.renewedAt = r.Sent
+	m.currentWriteID = m.newWriteID()
 	m.phase = phaseCreate
 }
 
@@ -70,7 +70,7 @@
 	}
 	switch {
 	case r.Err == nil && r.Created:
-		m.hold(r.Revision)
+		m.startTerm(r.Revision)
 	case errors.Is(r.Err, store.ErrLeaseNotFound):
 		m.phase = phaseIdle
 		m.retry(r)
@@ -88,18 +88,18 @@
 		m.abandonOrRetry(r, phaseReadBack)
 	case !r.Found:
 		m.abandonOrRetry(r, phaseCreate)
-	case r.Record.WriteID == m.write:
-		m.hold(r.Record.Revision)
+	case r.Record.WriteID == m.currentWriteID:
+		m.startTerm(r.Record.Revision)
 	default:
 		m.holder = r.Record.Holder
 		m.phase = phaseRevoke
 	}
 }
 
-// abandonOrRetry goes to the next phase after a wait, or gives the lease up
-// if it is too old to be believed in.
+// abandonOrRetry enters the next phase after the retry delay, or revokes the lease if it must
+// already be treated as expired.
 func (m *Machine) abandonOrRetry(r Result, next phase) {
-	if elapsed(m.renewed, r.Done) >= m.cfg.TTL-m.cfg.Margin {
+	if elapsed(m.renewedAt, r.Done) >= m.cfg.TTL-m.cfg.Margin {
 		m.phase = phaseRevoke
 		return
 	}
@@ -107,23 +107,23 @@
 	m.retry(r)
 }
 
-func (m *Machine) hold(fence int64) {
+func (m *Machine) startTerm(fence int64) {
 	m.phase = phaseHeld
 	m.fence = fence
 	m.loss = LossNone
-	m.wake = m.renewed.Add(m.cfg.RenewEvery)
+	m.notBefore = m.renewedAt.Add(m.cfg.RenewEvery)
 }
 
-// observeRenew counts a renewal from its send time. The lease can't have
-// lapsed in between, or the store wouldn't have renewed it.
+// observeRenew counts the TTL from the send time of the renewal. The lease can't have expired in
+// between, or the store wouldn't have renewed it.
 func (m *Machine) observeRenew(r Result) {
 	if m.phase != phaseHeld {
 		return
 	}
 	switch {
 	case r.Err == nil:
-		m.renewed = r.Sent
-		m.wake = r.Sent.Add(m.cfg.RenewEvery)
+		m.renewedAt = r.Sent
+		m.notBefore = r.Sent.Add(m.cfg.RenewEvery)
 	case errors.Is(r.Err, store.ErrLeaseNotFound):
 		m.lose(LossNotFound)
 	default:
@@ -131,12 +131,12 @@
 	}
 }
 
-// observeRevoke ends the term whatever the answer: a lease that wasn't
-// revoked lapses by itself.
+// observeRevoke ends the phase whatever the response: a lease that wasn't revoked expires by
+// itself.
 func (m *Machine) observeRevoke(r Result) {
 	m.lease = 0
 	m.phase = phaseIdle
-	m.wake = time.Time{}
+	m.notBefore = time.Time{}
 	switch {
 	case m.stopping:
 		m.phase = phaseStopped
