--- a/damping/damping_test.go
+++ b/damping/damping_test.go
@@ -15,7 +15,7 @@
 	cases := []struct {
 		name       string
 		departures []int // seconds
-		at         int   // second asked about
+		at         int   // second of the check
 		held       bool
 	}{
 		{"none", nil, 0, false},
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestHoldsAreBoundedAndForgotten(t *testing.T) {
+func TestHoldsAreBoundedAndPruned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now := New(DefaultConfig()), epoch
 		for _, gap := range rapid.SliceOf(rapid.IntRange(0, 400)).Draw(t, "gaps") {
@@ -48,12 +48,12 @@
 				t.Fatal("held for longer than Max")
 			}
 			if len(d.records["e"].departures) >= DefaultConfig().Threshold {
-				t.Fatal("departures are not bounded")
+				t.Fatal("number of departures is not bounded")
 			}
 		}
 		d.Prune(now.Add(time.Hour))
 		if len(d.records) > 0 {
-			t.Fatal("quiet record kept")
+			t.Fatal("record not removed after an hour without departures")
 		}
 	})
 }
