--- a/pause/pause.go
+++ b/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause has pauses and repetitions that end with their context.
+// Package pause provides a sleep and a periodic call that stop when their context ends.
 package pause
 
 import (
@@ -16,8 +16,8 @@
 	}
 }
 
-// Every calls f once in each interval until ctx ends. A call that takes longer
-// than the interval delays the next one.
+// Every calls f at the given interval until ctx ends, the first time after one interval. Calls
+// don't overlap: one that takes longer than the interval delays the next.
 func Every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -8,13 +8,13 @@
 	"github.com/matryer/is"
 )
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepReturnsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	Sleep(ctx, time.Hour) // returns
+	Sleep(ctx, time.Hour) // returns at once instead of after an hour
 }
 
-func TestEveryCallsUntilItsContextEnds(t *testing.T) {
+func TestEveryStopsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
@@ -23,5 +23,5 @@
 			cancel()
 		}
 	})
-	is.True(calls >= 3) // a tick that was due may still be taken
+	is.True(calls >= 3) // a tick that is already due may cause another call
 }
