--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -8,33 +8,35 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Bounds of the lines that wait to be written.
+// Limits of the buffered lines.
 const (
-	// maxWaiting is the most bytes that wait: about 2,000 lines, more than a
-	// node writes in ten seconds of its heaviest load.
-	maxWaiting = 512 << 10
-	// flushInterval gathers lines into one write; each write is a wake-up.
+	// maxPending bounds the buffered bytes: about 2,000 lines, more than a node logs in ten
+	// seconds at its highest load.
+	maxPending = 512 << 10
+	// flushInterval is the delay that collects lines into one write, since each write wakes up
+	// the process.
 	flushInterval = 100 * time.Millisecond
 )
 
-// AsyncWriter hands writes to another goroutine, so that a writer that blocks
-// never holds up the one who logs. Lines beyond maxWaiting are dropped and
-// counted.
+// AsyncWriter buffers writes and passes them to its output in another goroutine, so that an
+// output that blocks never blocks the goroutine that logs. Lines beyond maxPending are dropped
+// and counted.
 type AsyncWriter struct {
 	out     io.Writer
 	dropped prometheus.Counter
 
 	mu      sync.Mutex
-	waiting []byte
+	pending []byte
 	spare   []byte
-	wake    chan struct{}
-	writing sync.Mutex
+	notify  chan struct{}
+	flushMu sync.Mutex
 }
 
-// NewAsyncWriter returns a writer in front of out.
+// NewAsyncWriter returns a writer that writes to out. It starts a goroutine that runs until the
+// process ends.
 func NewAsyncWriter(out io.Writer, reg prometheus.Registerer) *AsyncWriter {
 	w := &AsyncWriter{
-		out: out, wake: make(chan struct{}, 1),
+		out: out, notify: make(chan struct{}, 1),
 		dropped: NewMeters(reg, "log").Counter("dropped_lines_total",
 			"Log lines dropped since the output did not keep up."),
 	}
@@ -42,36 +44,36 @@
 	return w
 }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write implements io.Writer. It never waits for the output and never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.waiting)+len(line) > maxWaiting {
+	if len(w.pending)+len(line) > maxPending {
 		w.dropped.Inc()
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, line...)
+	w.pending = append(w.pending, line...)
 	select {
-	case w.wake <- struct{}{}:
+	case w.notify <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
 func (w *AsyncWriter) run() {
-	for range w.wake {
+	for range w.notify {
 		time.Sleep(flushInterval)
 		w.Flush()
 	}
 }
 
-// Flush writes what waits. It blocks as long as the output does.
+// Flush writes the buffered lines. It blocks as long as the output does.
 func (w *AsyncWriter) Flush() {
-	w.writing.Lock()
-	defer w.writing.Unlock()
+	w.flushMu.Lock()
+	defer w.flushMu.Unlock()
 	w.mu.Lock()
-	lines := w.waiting
-	w.waiting = w.spare[:0]
+	lines := w.pending
+	w.pending = w.spare[:0]
 	w.mu.Unlock()
 	if len(lines) > 0 {
 		// There is nowhere to report a failed write of the log itself.
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -10,27 +10,27 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// stalled is an output that blocks until it is opened.
-type stalled struct {
+// blockingWriter is an output that blocks until open is closed.
+type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	got  strings.Builder
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *blockingWriter) Write(p []byte) (int, error) {
 	<-s.open
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(p)
 }
 
-func TestStalledOutputBlocksNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
-	out := &stalled{open: make(chan struct{})}
+	out := &blockingWriter{open: make(chan struct{})}
 	w := NewAsyncWriter(out, prometheus.NewRegistry())
 	line := strings.Repeat("x", 1<<10)
-	for range 4 * maxWaiting >> 10 {
-		n, err := w.Write([]byte(line)) // a blocked write would end the test by its time-out
+	for range 4 * maxPending >> 10 {
+		n, err := w.Write([]byte(line)) // if Write blocked, the test would time out
 		is.NoErr(err)
 		is.Equal(n, len(line))
 	}
--- a/telemetry/server.go
+++ b/telemetry/server.go
@@ -20,15 +20,15 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Server serves the metrics on an address of their own.
+// Server serves the metrics over HTTP on a separate address.
 type Server struct {
 	addr   string
 	log    *log.Logger
 	server *http.Server
 }
 
-// NewServer returns a server that will listen on addr, an ip:port; with an
-// empty addr it serves nothing.
+// NewServer returns a server that listens on addr, an ip:port, once started. With an empty addr
+// it serves nothing.
 func NewServer(addr string, reg *prometheus.Registry, l *log.Logger) *Server {
 	metrics := promhttp.HandlerFor(reg, promhttp.HandlerOpts{})
 	ws := new(restful.WebService)
@@ -43,20 +43,20 @@
 // ID implements kernel.Service.
 func (*Server) ID() kernel.ID { return ServerID }
 
-// Start implements kernel.Starter. A node whose metrics can't be served still
-// serves callers.
+// Start implements kernel.Starter. It returns no error if it can't listen, since a node whose
+// metrics can't be served still serves callers.
 func (s *Server) Start(context.Context) error {
 	if s.addr == "" {
 		return nil
 	}
 	ln, err := net.Listen("tcp", s.addr)
 	if err != nil {
-		s.log.Error("metrics not served; give them a free address", "addr", s.addr, "err", err)
+		s.log.Error("metrics not served: set a free address for them", "addr", s.addr, "err", err)
 		return nil
 	}
 	go func() {
 		if err := s.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			s.log.Error("metrics no longer served", "err", err)
+			s.log.Error("metrics server failed", "err", err)
 		}
 	}()
 	return nil
@@ -64,5 +64,5 @@
 
 // Stop implements kernel.Stopper.
 func (s *Server) Stop(context.Context) error {
-	return errors.Wrap(s.server.Close(), "telemetry: close")
+	return errors.Wrap(s.server.Close(), "telemetry: close metrics server")
 }
--- a/telemetry/service.go
+++ b/telemetry/service.go
@@ -9,10 +9,10 @@
 // ServiceID is the kernel name of the Service.
 const ServiceID kernel.ID = "telemetry.registry"
 
-// Service gives a node's metrics to those who look it up in the kernel.
+// Service makes a node's metrics registry available to other services of the kernel.
 type Service struct{ *prometheus.Registry }
 
-// NewService returns the service of a registry.
+// NewService returns the Service of a registry.
 func NewService(r *prometheus.Registry) Service { return Service{r} }
 
 // ID implements kernel.Service.
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -12,11 +12,11 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Namespace prefixes every metric of the node.
+// Namespace is the first part of the name of every metric that the node's packages register.
 const Namespace = "knapweedgw"
 
-// NewLogger returns a logger that writes one JSON object a line to w. It
-// fails on an unknown level.
+// NewLogger returns a logger that writes one JSON object per line to w, each with the node's ID.
+// It returns an error if the level is unknown.
 func NewLogger(w io.Writer, level, node string) (*log.Logger, error) {
 	lv, err := log.ParseLevel(level)
 	if err != nil {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -31,7 +31,7 @@
 	is.NoErr(err)
 }
 
-func TestUnknownLevelNamesTheLevels(t *testing.T) {
+func TestUnknownLevelListsTheLevels(t *testing.T) {
 	is := is.New(t)
 	_, err := NewLogger(nil, "loud", "n")
 	is.True(err != nil)
