--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,5 @@
-// Package catalog holds what the operators have configured for callers: routes,
-// services, workspaces and limits. A Catalog is immutable; a newer version
-// replaces it as a whole.
+// Package catalog holds the operators' configuration of the gateway: routes, services,
+// workspaces and limits. A Catalog is immutable; a newer version replaces it as a whole.
 package catalog
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/warmup"
 )
 
-// Kind says what may be repeated of the requests of a route.
+// Kind defines whether requests of a route may run more than once.
 type Kind int
 
 // The kinds of routes.
@@ -21,8 +20,8 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Streaming requests are answered by a series of events. They run at most
-	// once unless the route is Resumable.
+	// Streaming requests are answered by a stream of events. They run at most once unless the
+	// route is Resumable.
 	Streaming
 )
 
@@ -32,34 +31,34 @@
 	Weight  int
 }
 
-// Route says where the requests for a host and path prefix go, and how.
+// Route configures the requests for a host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting; 0 for none.
+	// Timeout is the longest time that a caller waits for an answer; 0 for no limit.
 	Timeout time.Duration
 	// TargetLatency is the time within which an answer should begin.
 	TargetLatency time.Duration
-	// MaxGap is the longest pause between two events of a stream that is still
-	// on time; 0 for none given.
+	// MaxGap is the longest time between two events of a stream that is still on time; 0 if not
+	// configured.
 	MaxGap time.Duration
-	// Priority is the rank of the requests; 0 is the most urgent.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority    int
 	Backends    []Backend
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
-	// PromptRouting routes carry prompts whose shared parts engines cache.
+	// PromptRouting routes carry prompts whose common parts engines cache.
 	PromptRouting bool
-	// Resumable streams may go on at another target after their last event.
+	// Resumable streams may continue at another target after their last event.
 	Resumable bool
-	// Regions are those to whose targets the requests may go.
+	// Regions are the regions whose targets may serve the requests.
 	Regions Regions
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
@@ -68,28 +67,29 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what one target takes from all callers together.
+	// MaxConnections is the maximum number of connections to one target, from all callers
+	// together.
 	MaxConnections int
-	// ModelEngine says that the targets are model engines, which can fetch
-	// cached prompt parts from each other.
+	// ModelEngine means that the targets are model engines, which can fetch cached prompt parts
+	// from each other.
 	ModelEngine bool
-	// WarmUp is what a target bears that has just started.
+	// WarmUp limits the load of a target that has just started.
 	WarmUp warmup.Limit
 }
 
-// Workspace is a customer of the fleet.
+// Workspace is a customer's group of callers.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route if HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are those to whose targets its requests may go. Those of the route bind
-	// too.
+	// Regions are the regions whose targets may serve its requests. Those of the route apply as
+	// well.
 	Regions Regions
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -97,7 +97,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Content is the plain form of a Catalog, as it is decoded.
+// Content is the decoded configuration from which a Catalog is built.
 type Content struct {
 	Version    int64
 	Routes     []Route
@@ -108,27 +108,27 @@
 
 // Catalog is one version of the configuration, indexed for lookups.
 type Catalog struct {
-	version    int64
-	routes     map[string]*Route // by host and prefix
-	services   map[string]*Service
-	workspaces map[string]*Workspace // by key
-	keyed      bool                  // requests need a key
-	limits     Limits
+	version      int64
+	routes       map[string]*Route // by host and prefix
+	services     map[string]*Service
+	workspaces   map[string]*Workspace // by key
+	keysRequired bool                  // requests need a key
+	limits       Limits
 }
 
-// ErrInvalid means that a configuration can't be used. The last one stays in
+// ErrInvalid is the error of a configuration that can't be used. The previous one stays in
 // force.
 var ErrInvalid = errors.New("catalog: invalid configuration; mend the named field and write it again")
 
-// New checks and indexes a configuration.
+// New validates and indexes a configuration. Its errors wrap ErrInvalid.
 func New(c Content) (*Catalog, error) {
 	out := &Catalog{
-		version:    c.Version,
-		routes:     make(map[string]*Route, len(c.Routes)),
-		services:   make(map[string]*Service, len(c.Services)),
-		workspaces: make(map[string]*Workspace),
-		keyed:      len(c.Workspaces) > 0,
-		limits:     c.Limits,
+		version:      c.Version,
+		routes:       make(map[string]*Route, len(c.Routes)),
+		services:     make(map[string]*Service, len(c.Services)),
+		workspaces:   make(map[string]*Workspace),
+		keysRequired: len(c.Workspaces) > 0,
+		limits:       c.Limits,
 	}
 	for i := range c.Services {
 		out.services[c.Services[i].Name] = &c.Services[i]
@@ -159,10 +159,10 @@
 
 func routeKey(host, prefix string) string { return strings.ToLower(host) + prefix }
 
-// Version is the operators' number of this configuration; it only grows.
+// Version returns the operators' version number of this configuration; versions only increase.
 func (c *Catalog) Version() int64 { return c.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits of requests.
 func (c *Catalog) Limits() Limits { return c.limits }
 
 // Counts returns the numbers of routes and services.
@@ -170,7 +170,7 @@
 
 // Match returns the route of the host with the longest prefix of path.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
-	host = strings.ToLower(trimPort(host))
+	host = strings.ToLower(stripPort(host))
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r, ok := c.routes[host+path[:end+1]]; ok {
 			return r, true
@@ -179,7 +179,7 @@
 	return nil, false
 }
 
-func trimPort(host string) string {
+func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && strings.IndexByte(host[i:], ']') < 0 {
 		return host[:i]
 	}
@@ -192,18 +192,18 @@
 	return s, ok
 }
 
-// Workspace returns the holder of a key.
+// Workspace returns the workspace that has a key.
 func (c *Catalog) Workspace(key string) (*Workspace, bool) {
 	w, ok := c.workspaces[key]
 	return w, ok
 }
 
-// HasWorkspaces says whether requests need a key at all. They do also when no
-// workspace has a key left.
-func (c *Catalog) HasWorkspaces() bool { return c.keyed }
+// HasWorkspaces reports whether requests need a key. They also do if workspaces exist but have
+// no keys.
+func (c *Catalog) HasWorkspaces() bool { return c.keysRequired }
 
-// Choose returns the service for a request of the route. point is a hash of
-// the request, spread evenly, so that the services get their weights' shares.
+// Choose returns the service for a request of the route. point is a uniformly distributed hash
+// of the request, so that each service gets the share of its weight.
 func (r *Route) Choose(point uint64) string {
 	total := 0
 	for _, b := range r.Backends {
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func sample(t *testing.T) *Catalog {
+func sampleCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	c, err := New(Content{
 		Version: 3,
@@ -23,7 +23,7 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	c := sample(t)
+	c := sampleCatalog(t)
 	for _, tt := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "long"},
 		{"a.example:80", "/x/y/", "long"},
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestKeysNameTheirWorkspace(t *testing.T) {
-	is, c := is.New(t), sample(t)
+func TestWorkspaceByKey(t *testing.T) {
+	is, c := is.New(t), sampleCatalog(t)
 	w, ok := c.Workspace("k2")
 	is.True(ok)
 	is.Equal(w.Name, "w")
@@ -53,7 +53,7 @@
 }
 
 func TestChooseFollowsWeights(t *testing.T) {
-	r, _ := sample(t).Match("a.example", "/x/y/")
+	r, _ := sampleCatalog(t).Match("a.example", "/x/y/")
 	got := make(map[string]int)
 	for point := range uint64(1000) {
 		got[r.Choose(point)]++
@@ -61,7 +61,7 @@
 	is.New(t).Equal(got, map[string]int{"s": 900, "t": 100})
 }
 
-func TestInvalidRoutesAreNamed(t *testing.T) {
+func TestInvalidRoutesAreRejected(t *testing.T) {
 	for _, r := range []Route{
 		{Name: "bare", Prefix: "x", Backends: []Backend{{"s", 1}}},
 		{Name: "nowhere", Prefix: "/x/"},
@@ -77,6 +77,6 @@
 	is.True(!Regions{}.Allow("a"))
 	is.True(Regions{"a"}.And(nil).Allow("a"))
 	is.True(!Regions(nil).And(Regions{"a"}).Allow("b"))
-	is.True(!Regions{"a"}.And(Regions{"b"}).Allow("a")) // not nil, which would allow any
+	is.True(!Regions{"a"}.And(Regions{"b"}).Allow("a")) // an empty list, since nil would allow any region
 	is.Equal(Regions{"a", "b"}.And(Regions{"b", "c"}), Regions{"b"})
 }
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Regions are those to which something is confined; nil is any, an empty list none.
+// Regions is a set of allowed regions; nil allows any region, an empty list none.
 type Regions []string
 
-// Allow says whether a region is among them.
+// Allow reports whether a region is allowed.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both allow.
+// And returns the regions that both sets allow.
 func (r Regions) And(other Regions) Regions {
 	switch {
 	case r == nil:
