--- a/replica/audit.go
+++ b/replica/audit.go
@@ -5,68 +5,70 @@
 	"time"
 )
 
-// A watch can go deaf: it waits on while the store has changes that it never
-// tells of. So one node of the fleet asks the store for its revision whenever
-// nobody has known for a while that the copies are up to date. Heartbeats carry
-// that knowledge, so that the cost doesn't grow with the fleet.
+// A watch can stall: it stays open but delivers no events although the store has changed.
+// Therefore a node asks the store for its revision whenever no node has confirmed for a while
+// that the copies are up to date. Heartbeats spread the confirmations, so that the cost of
+// audits doesn't grow with the fleet.
 const (
-	// auditAfter and auditSpread: a node asks once the fleet's knowledge is
-	// older than a time drawn between auditAfter and auditAfter + auditSpread,
-	// so that mostly one node asks. Together with a heartbeat and a copy that
-	// is below the shortest time in which a change must be in force, 2 s.
+	// auditAfter and auditJitter: a node audits once the latest confirmation in the fleet is
+	// older than a random time between auditAfter and auditAfter + auditJitter, so that usually
+	// one node audits. This time, a heartbeat and a copy together are below 2 s, the shortest
+	// time within which a change must be in force.
 	auditAfter  = 600 * time.Millisecond
-	auditSpread = 500 * time.Millisecond
-	// deputiesAfter is added for the next few nodes that don't watch: they ask when
-	// the watchers, who ask first, have got no answer. It is added again for all
-	// others. What a watcher learnt takes up to half a second to reach all of a
-	// fleet of 66, and with 63 nodes that would ask, one of them always did: three
-	// of four audits were theirs.
-	deputiesAfter = 500 * time.Millisecond
-	deputies      = 5
-	// auditTimeout is short for a store that answers in milliseconds: another
-	// node asks next.
+	auditJitter = 500 * time.Millisecond
+	// backupAuditDelay is added for the next backupAuditors nodes, which don't watch: they
+	// audit if the watchers, which audit first, got no answer. It is added twice for all
+	// others. A watcher's confirmation takes up to half a second to reach all of a fleet of 66,
+	// and when all 63 other nodes could audit, one of them always did: three of four audits
+	// were theirs.
+	backupAuditDelay = 500 * time.Millisecond
+	backupAuditors   = 5
+	// auditTimeout is short because the store answers in milliseconds; after a timeout another
+	// node audits.
 	auditTimeout = 400 * time.Millisecond
-	// recheckAfter is when a node that found itself behind asks again: other nodes
-	// and a watch that was started again have told it by then. A second answer
-	// like the first means that they know nothing either.
-	recheckAfter = 150 * time.Millisecond
-	// catchUpTime is when a node whose copy has grown since it was behind asks again.
-	catchUpTime = 300 * time.Millisecond
-	// auditBackoff is how long a node that the store did not answer leaves the
-	// audits to others.
+	// recheckDelay is when a node that found itself behind audits again: by then other nodes or
+	// the restarted watch should have delivered the change. If it is still behind, they don't
+	// have the change either.
+	recheckDelay = 150 * time.Millisecond
+	// catchUpDelay is when a node audits again whose copy was behind but has advanced since.
+	catchUpDelay = 300 * time.Millisecond
+	// auditBackoff is how long a node leaves audits to others after the store failed to answer
+	// it.
 	auditBackoff = 2 * time.Second
 )
 
-// auditDue says whether this node is to ask the store now.
+// auditDue reports whether this node must audit now. If so, the next audit is due after
+// auditTimeout at the earliest.
 func (r *Replica) auditDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if !r.behindStore.IsZero() {
+	if !r.behindStoreSince.IsZero() {
 		return r.recheckDue(now)
 	}
-	due := r.lastWord().Add(auditAfter + time.Duration(r.rng.Int64N(int64(auditSpread))) + auditDelay(r.rank, r.watching))
-	if r.state.revision == 0 || now.Before(due) || now.Before(r.auditAt) {
+	due := r.latestConfirmation().Add(auditAfter + time.Duration(r.rng.Int64N(int64(auditJitter))) +
+		auditDelay(r.rank, r.watching))
+	if r.state.revision == 0 || now.Before(due) || now.Before(r.nextAuditAt) {
 		return false
 	}
-	r.auditAt = now.Add(auditTimeout)
+	r.nextAuditAt = now.Add(auditTimeout)
 	return true
 }
 
-// lastWord is when the copy was last known to be as new as the store, or a live node to
-// have a newer one that is: this node copies from it then, and while changes come one
-// after the other, hardly any two nodes are at the same revision. It is called with the
-// lock held.
-func (r *Replica) lastWord() time.Time {
-	word := r.confirmedAt()
-	if other := r.peers.ConfirmedBeyond(r.state.revision); other.After(word) {
+// latestConfirmation returns when the copy was last confirmed to be as new as the store, or
+// when a live node at a later revision last had that revision confirmed, if that is later:
+// this node copies from that node then, and while changes follow one another closely, hardly
+// any two nodes are at the same revision. Callers must hold r.mu.
+func (r *Replica) latestConfirmation() time.Time {
+	own := r.confirmedAt()
+	if other := r.peers.ConfirmedBeyond(r.state.revision); other.After(own) {
 		return other
 	}
-	return word
+	return own
 }
 
-// confirmedAt is when any node is known to have known that the copy is as new as the
-// store; zero for never. It is called with the lock held.
+// confirmedAt returns when any node last confirmed that this copy's revision is the store's
+// newest; zero for never. Callers must hold r.mu.
 func (r *Replica) confirmedAt() time.Time {
 	if other := r.peers.Confirmed(r.state.revision); other.After(r.confirmed) {
 		return other
@@ -74,31 +76,30 @@
 	return r.confirmed
 }
 
-// auditDelay is how much longer than the watchers a node waits, which has the given
-// rank among those that could watch.
+// auditDelay returns the additional time that a node waits before an audit, by its rank among
+// the nodes that could watch. It is 0 for watchers.
 func auditDelay(rank int, watching bool) time.Duration {
 	switch {
 	case watching:
 		return 0
-	case rank < watchers+deputies:
-		return deputiesAfter
+	case rank < watcherCount+backupAuditors:
+		return backupAuditDelay
 	}
-	return 2 * deputiesAfter
+	return 2 * backupAuditDelay
 }
 
-// recheckDue says whether a node that found itself behind is to ask again. One
-// that has caught up with what it was told is not. It is called with the lock
-// held.
+// recheckDue reports whether a node that found itself behind must audit again. It need not once
+// it has reached the revision that the store reported. Callers must hold r.mu.
 func (r *Replica) recheckDue(now time.Time) bool {
 	if r.state.revision >= r.storeRevision {
-		r.confirmed = r.behindStore
-		r.behindStore = time.Time{}
+		r.confirmed = r.behindStoreSince
+		r.behindStoreSince = time.Time{}
 		return false
 	}
-	if now.Before(r.behindStore.Add(recheckAfter)) || now.Before(r.auditAt) {
+	if now.Before(r.behindStoreSince.Add(recheckDelay)) || now.Before(r.nextAuditAt) {
 		return false
 	}
-	r.auditAt = now.Add(auditTimeout)
+	r.nextAuditAt = now.Add(auditTimeout)
 	return true
 }
 
@@ -114,38 +115,38 @@
 	r.metrics.audits.WithLabelValues(auditResult(err, revision > r.state.revision)).Inc()
 	switch {
 	case err != nil:
-		r.auditAt = r.now().Add(auditBackoff)
+		r.nextAuditAt = r.now().Add(auditBackoff)
 	case revision > r.state.revision:
-		r.noteBehind(revision)
+		r.handleBehind(revision)
 	default:
-		r.behindStore = time.Time{}
+		r.behindStoreSince = time.Time{}
 		r.confirmed = r.now()
 	}
 }
 
-// noteBehind is for a store that is ahead of the copy. At first the watch, if this node has
-// one, is started again from there; most often others have the change and are about to
-// tell. Only a node that is still behind a moment later, with no change since, reads all:
-// hundreds that did so at once, for changes that are on their way, would keep the store
-// from answering any. It is called with the lock held.
-func (r *Replica) noteBehind(revision int64) {
-	again := !r.behindStore.IsZero()
-	stuck := again && r.behindAt == r.state.revision
+// handleBehind handles an audit that found the store ahead of the copy. It first restarts this
+// node's watch, if there is one, from the copy's revision; usually other nodes already have the
+// change and are about to announce it. Only a node that is still behind a moment later, and has
+// not advanced since, lists the store: if hundreds of nodes listed it for a change that is
+// still spreading, the store could answer none of them. Callers must hold r.mu.
+func (r *Replica) handleBehind(revision int64) {
+	again := !r.behindStoreSince.IsZero()
+	stuck := again && r.behindRevision == r.state.revision
 	r.storeRevision = revision
-	r.auditAt = time.Time{}
+	r.nextAuditAt = time.Time{}
 	if again && !stuck {
-		r.auditAt = r.now().Add(catchUpTime)
+		r.nextAuditAt = r.now().Add(catchUpDelay)
 	}
 	r.log.Warn("copy is behind the store", "revision", r.state.revision, "store_revision", revision,
 		"reading_all", stuck)
 	if stuck {
 		r.stale = true
-		r.behindStore = time.Time{}
+		r.behindStoreSince = time.Time{}
 	} else {
-		r.behindStore, r.behindAt = r.now(), r.state.revision
+		r.behindStoreSince, r.behindRevision = r.now(), r.state.revision
 	}
 	r.restartWatch()
-	r.wakeFollow()
+	r.wakeFollower()
 }
 
 func auditResult(err error, behind bool) string {
@@ -158,16 +159,16 @@
 	return "current"
 }
 
-// restartWatch ends the watch in progress, so that the next one begins after
-// what the copy has. It is called with the lock held.
+// restartWatch cancels the current watch; the next one starts after the copy's revision.
+// Callers must hold r.mu.
 func (r *Replica) restartWatch() {
-	if r.restart != nil {
-		r.restart()
+	if r.cancelWatch != nil {
+		r.cancelWatch()
 	}
 }
 
-// ConfirmedAge returns how long ago any node is known to have known that the
-// copy is as new as the store; ok is false if none ever did.
+// ConfirmedAge returns how long ago any node last confirmed that this copy's revision is the
+// store's newest; ok is false if none ever did.
 func (r *Replica) ConfirmedAge(now time.Time) (age time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/replica/copying.go
+++ b/replica/copying.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// method is the peer method by which nodes copy from each other.
-const method = "replica.copy"
+// copyMethod is the peer method by which nodes copy from each other.
+const copyMethod = "replica.copy"
 
 const (
-	// behindGrace is how long another node may be ahead before this one
-	// copies from it: the store usually tells both within milliseconds.
+	// behindGrace is how long another node may be ahead before this one copies from it: the
+	// store usually notifies both within milliseconds.
 	behindGrace = 250 * time.Millisecond
-	// copyTimeout bounds one copy; the next is taken from whoever is ahead
-	// then.
+	// copyTimeout bounds one copy. After a timeout the next copy comes from any node that is
+	// ahead then.
 	copyTimeout = 700 * time.Millisecond
-	// copyPause is the least time between two copies, unless the first was a part: what
-	// changes meanwhile comes together. A change of its own doesn't wait. Changes reach
-	// a fleet of a thousand in four steps, each of which may wait so long.
-	copyPause = 100 * time.Millisecond
-	// maxCopies is the most copies that a node passes on at once; who asks beyond that
-	// is told to ask another. Each takes several times the size of a part.
-	maxCopies = 16
+	// minCopyInterval is the minimum time between two copies, unless the first was one part of
+	// several. Changes made in between are copied together; a change that comes alone is copied
+	// at once. In a fleet of a thousand nodes a change spreads in four steps, each of which may
+	// wait this long.
+	minCopyInterval = 100 * time.Millisecond
+	// maxConcurrentCopies bounds the copies that a node serves at once. Requests beyond it are
+	// rejected as busy, so that the caller asks another node. Each copy takes several times the
+	// size of a part in memory.
+	maxConcurrentCopies = 16
 )
 
-// catchUp copies from a node that is ahead, if there is one. It returns after which time
-// to look again, 0 if that is not before the next news.
+// catchUp copies from a node that is ahead, if there is one. It returns how long to wait before
+// the next check, or 0 if no check is needed before the next heartbeat or tick.
 func (r *Replica) catchUp(ctx context.Context) time.Duration {
-	node, behind := r.behind()
+	node, behind := r.findNodeAhead()
 	if !behind {
 		return 0
 	}
 	if wait := r.copyDue.Sub(r.now()); wait > 0 {
 		return wait
 	}
-	r.copyDue = r.now().Add(copyPause)
+	r.copyDue = r.now().Add(minCopyInterval)
 	if r.copyFrom(ctx, node) {
 		r.copyDue = time.Time{}
-		r.look()
+		r.triggerCheck()
 	}
 	return 0
 }
 
-// look has check look at once whether the node is behind.
-func (r *Replica) look() {
+// triggerCheck makes check look for a node that is ahead without waiting for its next tick.
+func (r *Replica) triggerCheck() {
 	select {
-	case r.poke <- struct{}{}:
+	case r.checkNow <- struct{}{}:
 	default:
 	}
 }
 
-// behind returns a node that has been ahead of this one for a while.
-func (r *Replica) behind() (string, bool) {
+// findNodeAhead returns a node that has been ahead of this one for at least behindGrace. There
+// is no grace period if this node doesn't watch the store or has no configuration yet.
+func (r *Replica) findNodeAhead() (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	node, ahead := r.peers.Ahead(r.versions())
@@ -71,37 +74,37 @@
 	return node, now.Sub(r.behindSince) >= grace
 }
 
-// copyFrom copies from a node that is ahead, and says whether that was a part and more is
-// to come. A watch that did not bring what the other node has is started again, since it
-// may be dead.
+// copyFrom copies from a node that is ahead and reports whether more parts follow. If this
+// node's watch did not deliver what the other node has, it is restarted, since it may be
+// broken.
 func (r *Replica) copyFrom(ctx context.Context, node string) (more bool) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	r.mu.Lock()
-	want := r.state.want()
+	req := r.state.copyRequest()
 	r.mu.Unlock()
-	var got Copy
-	err := r.network.Call(ctx, node, method, want, &got)
+	var got CopyReply
+	err := r.network.Call(ctx, node, copyMethod, req, &got)
 	if err == nil {
 		got, err = got.unpackEntries()
 	}
 	if err != nil {
-		r.log.Warn("nothing copied from a node that is ahead", "peer", node, "err", err)
+		r.log.Warn("copying from a node that is ahead failed", "peer", node, "err", err)
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own := r.state.revision
-	ch := r.state.take(got, r.now())
+	ch := r.state.applyReply(got, r.now())
 	r.log.Info("copied from a node that is ahead", "peer", node, "revision", got.Revision,
 		"own_revision", own, "whole", got.Whole, "more", got.More, "entries", len(got.Entries))
 	r.publish(ch, sourcePeer)
-	r.takeWord(got)
+	r.adoptConfirmation(got)
 	if got.Revision > own && !got.Evacuations {
-		r.readAgain()
+		r.scheduleRelist()
 	}
 	if r.state.revision > own && !got.More {
-		r.changed()
+		r.requestAnnounce()
 	}
 	if r.watching && got.Revision > own {
 		r.restartWatch()
@@ -109,25 +112,25 @@
 	return got.More
 }
 
-// readAgainAfter is the least time between two reads of all by a node that copies from
-// one which can't tell of evacuations. It leaves half of the time in which an evacuation
-// must be in force.
-const readAgainAfter = 2500 * time.Millisecond
+// minRelistInterval is the minimum time between two lists of the store by a node that copies
+// from nodes whose release doesn't support evacuations. It leaves half of the time within which
+// an evacuation must be in force.
+const minRelistInterval = 2500 * time.Millisecond
 
-// readAgain has all be read from the store: the copy came from a node of a release that
-// doesn't know of evacuations. It is called with the lock held.
-func (r *Replica) readAgain() {
-	if r.now().Sub(r.readAt) < readAgainAfter {
+// scheduleRelist makes the node list the store, because the copy came from a node whose release
+// doesn't support evacuations. Callers must hold r.mu.
+func (r *Replica) scheduleRelist() {
+	if r.now().Sub(r.lastListed) < minRelistInterval {
 		return
 	}
-	r.stale, r.mustRead = true, true
+	r.stale, r.mustList = true, true
 	r.restartWatch()
-	r.wakeFollow()
+	r.wakeFollower()
 }
 
-// takeWord takes what the giver knew of the store's newest revision, if the copy is at that
-// revision now. It is called with the lock held.
-func (r *Replica) takeWord(got Copy) {
+// adoptConfirmation takes over when the sender's revision was last confirmed to be the store's
+// newest, if this copy is at that revision now. Callers must hold r.mu.
+func (r *Replica) adoptConfirmation(got CopyReply) {
 	if got.ConfirmedAge == nil || got.More || got.Revision != r.state.revision {
 		return
 	}
@@ -137,26 +140,26 @@
 	}
 }
 
-// copyFor returns what the copy has beyond w, with what is known of the store.
-func (r *Replica) copyFor(w Want) Copy {
+// buildReply returns what this copy has beyond req, with the age of its latest confirmation.
+func (r *Replica) buildReply(req CopyRequest) CopyReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.state.newer(w)
-	if known := r.confirmedAt(); !known.IsZero() && !out.More && out.Revision == r.state.revision {
+	reply := r.state.replyTo(req)
+	if known := r.confirmedAt(); !known.IsZero() && !reply.More && reply.Revision == r.state.revision {
 		age := r.now().Sub(known).Milliseconds()
-		out.ConfirmedAge = &age
+		reply.ConfirmedAge = &age
 	}
-	return out
+	return reply
 }
 
 func (r *Replica) serveCopy(_ context.Context, params json.RawMessage) (any, error) {
-	var w Want
-	if err := json.Unmarshal(params, &w); err != nil {
+	var req CopyRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, err
 	}
-	out := r.copyFor(w)
-	if !w.Parts {
-		return out, nil
+	reply := r.buildReply(req)
+	if !req.Parts {
+		return reply, nil
 	}
-	return out.packEntries()
+	return reply.packEntries()
 }
--- a/replica/follower.go
+++ b/replica/follower.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// storeTimeout bounds one call of the store, which answers in milliseconds
-	// when it is well and in a quarter of a second when it is slow.
+	// storeTimeout bounds one call to the store, which normally answers in milliseconds, and in
+	// a quarter of a second when it is slow.
 	storeTimeout = time.Second
-	// listTimeout bounds a read of all. Thousands of targets take several calls,
-	// and hundreds of nodes that begin at once share the store's link: 2 to 3 s
-	// for 3,000 targets and 300 nodes.
+	// listTimeout bounds a list of the store. Thousands of targets take several calls, and
+	// hundreds of nodes that start at once share the store's link: 2 to 3 s for 3,000 targets
+	// and 300 nodes.
 	listTimeout = 6 * time.Second
 )
 
-// storeBackoff spreads the nodes' attempts to reach a store that is away. Each
-// attempt is a priced call; meanwhile nodes that are served tell the others.
+// storeBackoff spreads the nodes' attempts to reach an unavailable store. Each attempt is a
+// billed call; meanwhile nodes that can reach the store pass changes on to the others.
 var storeBackoff = retry.Backoff{Base: 100 * time.Millisecond, Max: time.Second}
 
-// follow keeps the copy up to date with the store. It lists all once; while
-// this node is a watcher, it watches on from there, and starts again when
-// history was lost.
+// follow keeps the copy up to date with the store. It lists the store once and, while this node
+// is a watcher, watches it from that revision. It lists the store again if the store no longer
+// has the events since the copy's revision.
 func (r *Replica) follow(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	failures := 0
-	whole := false // the copy was listed, and the history since is there
+	listed := false // the store was listed, and its events since then are available
 	for ctx.Err() == nil {
 		var err error
-		if stale := r.takeStale(); !whole && !r.isCopied() || stale {
-			err = r.readList(ctx)
+		if stale := r.consumeStale(); !listed && !r.hasCopy() || stale {
+			err = r.listStore(ctx)
 		} else if failures > 0 {
-			// A watch would tell of the store's return only by its next change.
-			err = r.askRevision(ctx)
+			// A watch would show that the store is back only with its next event.
+			err = r.probeStore(ctx)
 		}
 		if err == nil {
-			whole = true
+			listed = true
 			failures = 0
-			r.awaitElection(ctx)
+			r.awaitWork(ctx)
 			err = r.watch(ctx)
 		}
 		if errors.Is(err, store.ErrCompacted) {
-			r.log.Info("history of the store is gone; reading all", "revision", r.revision())
+			r.log.Info("the store no longer has the events since the copy's revision; listing it again",
+				"revision", r.revision())
 			r.setStale()
 			continue
 		}
@@ -60,8 +61,8 @@
 	}
 }
 
-// isCopied says whether another node has passed its copy on already.
-func (r *Replica) isCopied() bool { return r.revision() > 0 }
+// hasCopy reports whether the node holds a copy; before its first list, one from another node.
+func (r *Replica) hasCopy() bool { return r.revision() > 0 }
 
 func (r *Replica) setStale() {
 	r.mu.Lock()
@@ -69,8 +70,8 @@
 	r.stale = true
 }
 
-// takeStale says whether the copy was found to lack changes, once.
-func (r *Replica) takeStale() bool {
+// consumeStale reports whether the copy was found to lack changes, and resets the flag.
+func (r *Replica) consumeStale() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	stale := r.stale
@@ -84,20 +85,20 @@
 	return r.state.revision
 }
 
-// readList reads all from the store. Where that takes several pages, a copy of another
-// node that is as new ends it.
-func (r *Replica) readList(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout+maxReadDelay)
+// listStore lists the store. If that takes several pages, it stops early once this node has
+// received a copy that is as new from another node.
+func (r *Replica) listStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout+maxTurnDelay)
 	defer cancel()
 	r.mu.Lock()
-	r.readFrom = r.now()
+	r.listStarted = r.now()
 	r.mu.Unlock()
 	page, err := r.store.List(ctx, r.schema.Prefix(), r.awaitTurn)
-	if errors.Is(err, errCopied) {
+	if errors.Is(err, errListSuperseded) {
 		r.storeAnswered()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.readNote(page)
+		r.deliverNote(page)
 		return nil
 	}
 	if err != nil {
@@ -105,11 +106,11 @@
 		return err
 	}
 	r.storeAnswered()
-	r.list(page)
+	r.applyList(page)
 	return nil
 }
 
-func (r *Replica) askRevision(ctx context.Context) error {
+func (r *Replica) probeStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := r.store.Revision(ctx); err != nil {
@@ -119,12 +120,12 @@
 	return nil
 }
 
-// watch takes changes until the watch fails, or is ended to be started again.
+// watch applies changes until the watch fails or is cancelled for a restart.
 func (r *Replica) watch(ctx context.Context) error {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.mu.Lock()
-	r.restart = cancel
+	r.cancelWatch = cancel
 	from := r.state.revision + 1
 	due := r.watching && !r.stale
 	r.mu.Unlock()
@@ -143,7 +144,7 @@
 			return b.Err
 		}
 		r.storeAnswered()
-		r.events(b)
+		r.applyBatch(b)
 	}
 	return ctx.Err()
 }
--- a/replica/history.go
+++ b/replica/history.go
@@ -5,55 +5,54 @@
 	"slices"
 )
 
-// keyChange is a change of a key.
+// keyChange identifies a change by its key and revision.
 type keyChange struct {
 	revision int64
 	key      string
 }
 
-// lastChange is the last change of a key.
+// lastChange is the most recent change of a key.
 type lastChange struct {
 	revision int64
 	removed  bool
 }
 
-// history says which keys changed when, so that a node can pass on what another one
-// lacks. It holds no values: those are the copy's. It grows with the keys and not with
-// their changes.
+// history records which keys changed at which revision, so that a node can send another one the
+// changes that it lacks. It holds no values; those are in copyState. Its size grows with the
+// number of keys and not with the number of changes.
 type history struct {
-	// changes are in the order of their revisions; later ones of the same key supersede
-	// some of them.
+	// changes are ordered by revision. Some are superseded by later changes of the same key.
 	changes []keyChange
-	// last are the last changes of all keys that are there and of those that were removed
-	// lately.
+	// last holds the most recent change of each existing key and of each key with a tombstone.
 	last map[string]lastChange
-	// removed are the removals, oldest first.
-	removed []keyChange
-	// forgotten is the revision up to which removals are forgotten.
-	forgotten int64
+	// tombstones are the removals, oldest first.
+	tombstones []keyChange
+	// discardedUpTo is the highest revision of a discarded tombstone.
+	discardedUpTo int64
 }
 
 func newHistory() history { return history{last: make(map[string]lastChange)} }
 
-// minRemoved is the number of removals that are kept at least. More are kept if there
-// are more keys: what replaces many of them at once removes as many.
-const minRemoved = 1024
+// minTombstones is the minimum number of tombstones that are kept. If there are more keys than
+// that, as many tombstones as keys are kept: a rollout that replaces many keys at once removes
+// just as many.
+const minTombstones = 1024
 
-// put notes that a key was written.
+// put records that a key was written.
 func (h *history) put(key string, revision int64) {
 	h.last[key] = lastChange{revision: revision}
 	h.insert(keyChange{revision, key})
 }
 
-// remove notes that a key is gone.
+// remove records that a key was removed.
 func (h *history) remove(key string, revision int64) {
 	h.last[key] = lastChange{revision: revision, removed: true}
-	h.removed = append(h.removed, keyChange{revision, key})
+	h.tombstones = append(h.tombstones, keyChange{revision, key})
 	h.insert(keyChange{revision, key})
 }
 
-// insert looks for the place from the end: a list may hold a few later changes than
-// those that a watch tells next.
+// insert adds a change in the order of revisions. It searches from the end, since a list may
+// contain a few changes that are newer than the next events of a watch.
 func (h *history) insert(c keyChange) {
 	at := len(h.changes)
 	for at > 0 && h.changes[at-1].revision > c.revision {
@@ -62,18 +61,18 @@
 	h.changes = slices.Insert(h.changes, at, c)
 }
 
-// replace notes all keys that are there at a revision, with those of their last changes.
-// Keys that are not among them any more were removed at that revision at the latest.
+// replace records the last changes of all keys that exist at a revision. Recorded keys that are
+// not among them were removed at that revision at the latest.
 func (h *history) replace(entries []keyChange, revision int64) {
-	there := make(map[string]bool, len(entries))
+	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		there[e.key] = true
+		present[e.key] = true
 		h.last[e.key] = lastChange{revision: e.revision}
 	}
 	for key, l := range h.last {
-		if !l.removed && !there[key] {
+		if !l.removed && !present[key] {
 			h.last[key] = lastChange{revision: revision, removed: true}
-			h.removed = append(h.removed, keyChange{revision, key})
+			h.tombstones = append(h.tombstones, keyChange{revision, key})
 		}
 	}
 	h.changes = h.changes[:0]
@@ -83,39 +82,39 @@
 	slices.SortFunc(h.changes, func(a, b keyChange) int { return cmp.Compare(a.revision, b.revision) })
 }
 
-// isLast says whether no later change of its key is known.
-func (h *history) isLast(c keyChange) bool { return h.last[c.key].revision == c.revision }
+// isLatest reports whether no later change of the key is recorded.
+func (h *history) isLatest(c keyChange) bool { return h.last[c.key].revision == c.revision }
 
-// trim bounds the history by the number of keys that are there.
+// trim bounds the history by the number of existing keys.
 func (h *history) trim(keys int) {
-	if most := max(keys, minRemoved); len(h.removed) > 2*most {
-		h.forget(len(h.removed) - most)
+	if limit := max(keys, minTombstones); len(h.tombstones) > 2*limit {
+		h.discardTombstones(len(h.tombstones) - limit)
 	}
-	if len(h.changes) > 2*len(h.last)+minRemoved {
-		h.changes = slices.DeleteFunc(h.changes, func(c keyChange) bool { return !h.isLast(c) })
+	if len(h.changes) > 2*len(h.last)+minTombstones {
+		h.changes = slices.DeleteFunc(h.changes, func(c keyChange) bool { return !h.isLatest(c) })
 	}
 }
 
-// forget forgets the n oldest removals.
-func (h *history) forget(n int) {
-	for _, c := range h.removed[:n] {
-		if !h.isLast(c) {
-			continue // the key is there again, or was removed again
+// discardTombstones discards the n oldest tombstones.
+func (h *history) discardTombstones(n int) {
+	for _, c := range h.tombstones[:n] {
+		if !h.isLatest(c) {
+			continue // the key was written or removed again
 		}
-		h.forgotten = max(h.forgotten, c.revision)
+		h.discardedUpTo = max(h.discardedUpTo, c.revision)
 		delete(h.last, c.key)
 	}
-	h.removed = slices.Clone(h.removed[n:])
+	h.tombstones = slices.Clone(h.tombstones[n:])
 }
 
-// since returns up to limit last changes after a revision, and whether there are more.
-// Changes of one revision are not divided.
+// since returns the keys' latest changes after a revision, and whether there are more. It
+// returns at most limit of them, or more if needed to include all changes of the last revision.
 func (h *history) since(revision int64, limit int) (out []keyChange, more bool) {
 	at, _ := slices.BinarySearchFunc(h.changes, revision+1, func(c keyChange, r int64) int {
 		return cmp.Compare(c.revision, r)
 	})
 	for _, c := range h.changes[at:] {
-		if !h.isLast(c) {
+		if !h.isLatest(c) {
 			continue
 		}
 		if len(out) >= limit && c.revision > out[len(out)-1].revision {
@@ -126,5 +125,5 @@
 	return out, false
 }
 
-// lacks says whether removals since a revision are forgotten.
-func (h *history) lacks(revision int64) bool { return revision < h.forgotten }
+// isIncompleteSince reports whether tombstones after a revision were discarded.
+func (h *history) isIncompleteSince(revision int64) bool { return revision < h.discardedUpTo }
--- a/replica/lines_test.go
+++ b/replica/lines_test.go
@@ -13,14 +13,14 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Targets that change together are a few lines with their number and a sample; one that
-// changes alone is named with its address.
-func TestManyTargetsThatChangeAreFewLines(t *testing.T) {
+// Changes of many targets are logged in a few lines with their number and a sample; a change of
+// a single target is logged with its address.
+func TestManyTargetChangesAreSummarizedInLog(t *testing.T) {
 	is, out := is.New(t), &bytes.Buffer{}
-	p := &silentPeers{}
-	r := New(&fakeSource{}, plain{}, p, p, log.New(out), prometheus.NewRegistry())
-	told := 0
-	r.OnTargets(func(changed []roster.Difference) { told += len(changed) })
+	p := &stubPeers{}
+	r := New(&fakeSource{}, testSchema{}, p, p, log.New(out), prometheus.NewRegistry())
+	reported := 0
+	r.OnTargets(func(changed []roster.Difference) { reported += len(changed) })
 	lines := func(events ...store.Event) int {
 		out.Reset()
 		revision := r.revision()
@@ -28,7 +28,7 @@
 			revision++
 			events[i].KV.ModRevision = revision
 		}
-		r.events(store.Batch{Events: events, Revision: revision})
+		r.applyBatch(store.Batch{Events: events, Revision: revision})
 		return bytes.Count(out.Bytes(), []byte("\n"))
 	}
 	event := func(name, addr string) store.Event {
@@ -40,7 +40,7 @@
 	}
 	is.True(lines(all...) <= 3)
 	is.True(bytes.Contains(out.Bytes(), []byte("count=10002")))
-	is.Equal(told, 10_002) // whatever is logged
+	is.Equal(reported, 10_002) // callbacks get every change, whatever is logged
 	is.True(lines(event("i7", "10.0.0.2:80")) <= 3)
 	is.True(bytes.Contains(out.Bytes(), []byte("addr=10.0.0.2:80")))
 }
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// Sources of changes, as metric labels.
+// Values of the source label of changes_total.
 const (
 	sourceStore = "store"
 	sourcePeer  = "peer"
@@ -19,7 +19,7 @@
 	storeErrors prometheus.Counter
 	invalid     prometheus.Counter
 	evacuated   prometheus.Gauge
-	// unusable counts the changes of entries that name no target to use.
+	// unusable counts the changes of entries that don't describe a usable target.
 	unusable *prometheus.CounterVec
 }
 
--- a/replica/note.go
+++ b/replica/note.go
@@ -7,24 +7,24 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// All nodes may die at once, and with them what they learnt of the targets. So
-// one of them keeps a note in the store, which a node reads when it begins, in
-// the same call as everything else. A note is a hint: it may be old or missing.
+// All nodes may fail at once and lose what they learnt about the targets. So one of them saves
+// that in the store as the note, which a node reads when it starts, in the same call as
+// everything else. The note is a hint: it may be stale or missing.
 
-// saveTimeout bounds one write of the note; the next one replaces it.
-const saveTimeout = time.Second
+// noteWriteTimeout bounds one write of the note. A failed write is not retried, since the next
+// one replaces it.
+const noteWriteTimeout = time.Second
 
-// OnNote calls f with the note that the node found in the store when it began.
-// It must be called before Start; f must not call the replica.
+// OnNote registers f to be called with the note found in the store at startup. It must be
+// called before Start; f must not call the replica.
 func (r *Replica) OnNote(f func(note []byte)) { r.onNote = append(r.onNote, f) }
 
-// readNote passes on the note of the first list. It is called with the lock
-// held.
-func (r *Replica) readNote(p store.Page) {
-	if r.noteRead {
+// deliverNote passes the note of the first list to the callbacks. Callers must hold r.mu.
+func (r *Replica) deliverNote(p store.Page) {
+	if r.noteDelivered {
 		return
 	}
-	r.noteRead = true
+	r.noteDelivered = true
 	for _, kv := range p.KVs {
 		if kv.Key != r.schema.NoteKey() {
 			continue
@@ -35,18 +35,18 @@
 	}
 }
 
-// Leads says whether this node is the one that writes the note: the first in
-// the order of the watchers. Two nodes that both think so do no harm.
+// Leads reports whether this node writes the note: it is the first in the order of the
+// watchers. It does no harm if two nodes write the note for a while.
 func (r *Replica) Leads() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.watching && r.rank == 0 && !r.storeLost
 }
 
-// SaveNote writes the note. Each write wakes the watchers, so it is to be
-// seldom.
+// SaveNote writes the note to the store. Each write wakes all watchers, so it should be called
+// rarely.
 func (r *Replica) SaveNote(ctx context.Context, note []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, noteWriteTimeout)
 	defer cancel()
 	return r.store.Put(ctx, r.schema.NoteKey(), note)
 }
--- a/replica/packed_test.go
+++ b/replica/packed_test.go
@@ -12,11 +12,11 @@
 	"github.com/knapweedgw/knapweedgw/catalog"
 )
 
-// padded is a schema whose configuration is a version in many blanks.
-type padded struct{ plain }
+// paddedSchema is a schema whose configuration is a version padded with spaces.
+type paddedSchema struct{ testSchema }
 
-func (padded) DecodeCatalog(value []byte) (*catalog.Catalog, error) {
-	return plain{}.DecodeCatalog(bytes.TrimSpace(value))
+func (paddedSchema) DecodeCatalog(value []byte) (*catalog.Catalog, error) {
+	return testSchema{}.DecodeCatalog(bytes.TrimSpace(value))
 }
 
 func largeConfig(version int64, size int) Entry {
@@ -25,21 +25,21 @@
 	return e
 }
 
-// Big configurations in quick succession, passed from node to node: each node
-// keeps the last one, in a fraction of its size, and so is what it passes on.
+// Large configurations in quick succession are passed from node to node: each node keeps the
+// last one, compressed to less than a tenth, and replies contain it in that form.
 func TestLargeConfigurationsArePassedOnPacked(t *testing.T) {
 	is := is.New(t)
 	const size, versions = 1 << 20, 20
-	problems := func(key string, _ int64, err error) { t.Fatal(key, err) }
-	first, second := newCopyState(padded{}, problems, problems), newCopyState(padded{}, problems, problems)
+	onInvalid := func(key string, _ int64, err error) { t.Fatal(key, err) }
+	first, second := newCopyState(paddedSchema{}, onInvalid, onInvalid), newCopyState(paddedSchema{}, onInvalid, onInvalid)
 	for v := range int64(versions) {
 		is.True(first.putCatalog(largeConfig(v+1, size)))
-		passed, err := json.Marshal(first.newer(Want{CatalogRevision: second.catalogEntry.Revision}))
+		raw, err := json.Marshal(first.replyTo(CopyRequest{CatalogRevision: second.catalogEntry.Revision}))
 		is.NoErr(err)
-		is.True(len(passed) < size/10)
-		var got Copy
-		is.NoErr(json.Unmarshal(passed, &got))
-		is.True(second.take(got, start).catalog)
+		is.True(len(raw) < size/10)
+		var got CopyReply
+		is.NoErr(json.Unmarshal(raw, &got))
+		is.True(second.applyReply(got, start).catalog)
 		is.Equal(second.catalog.Version(), v+1)
 	}
 	is.True(len(second.catalogEntry.Value) < size/10)
@@ -49,12 +49,12 @@
 }
 
 func TestUnusablePackedValueChangesNothing(t *testing.T) {
-	tooLarge := Entry{Value: make([]byte, maxValue+1)}.pack()
-	for name, value := range map[string][]byte{"no packed value": []byte("xyz"), "too large": tooLarge.Value} {
+	tooLarge := Entry{Value: make([]byte, maxUnpackedSize+1)}.pack()
+	for name, value := range map[string][]byte{"malformed": []byte("xyz"), "too large": tooLarge.Value} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var seen error
-			c := newCopyState(padded{}, func(_ string, _ int64, err error) { seen = err }, nil)
+			c := newCopyState(paddedSchema{}, func(_ string, _ int64, err error) { seen = err }, nil)
 			is.True(c.putCatalog(config(1, 1)))
 			is.True(!c.putCatalog(Entry{Key: "config", Value: value, Packed: true, Revision: 2}))
 			is.True(errors.Is(seen, errUnpack))
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestSmallValuesStayAsTheyAre(t *testing.T) {
+func TestSmallValuesAreNotPacked(t *testing.T) {
 	is := is.New(t)
-	e := Entry{Key: "config", Value: make([]byte, packFrom-1)}
+	e := Entry{Key: "config", Value: make([]byte, minPackSize-1)}
 	is.Equal(e.pack(), e)
 }
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -9,101 +9,103 @@
 	"pgregory.net/rapid"
 )
 
-// usualValue is as long as a target's entry.
-func usualValue(i int) string {
+// typicalValue returns a value of the usual length of a target's entry.
+func typicalValue(i int) string {
 	return fmt.Sprintf(`{"service":"model-pool","address":"10.%d.%d.%d:8483","zone":"domain-%d","version":"v1",`+
 		`"slots":16,"state":"ready","cold_remaining_ms":0,"sequence":%d,"born":%d,"models":[{"name":"m","version":1,"adapters":[]}]}`,
 		i>>16, i>>8&255, i&255, i%6, i, 1_700_000_000_000+i*7919)
 }
 
-// filledState holds so many targets, written one after the other from revision 1 on.
+// filledState returns a copy with the given number of targets, written one after the other from
+// revision 1 on.
 func filledState(t *testing.T, targets int) *copyState {
 	c := newState(t)
 	for i := range targets {
-		c.change(target(fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), usualValue(i), int64(i+1)), start)
+		c.applyChange(target(fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), typicalValue(i), int64(i+1)), start)
 	}
 	c.advance(int64(targets))
 	return c
 }
 
-// answer is what a node sends for a Want, as it is held until it is written.
-func answer(t *testing.T, c *copyState, w Want) []byte {
+// encodeReply returns the reply to a request as a node holds it in memory until it is written.
+func encodeReply(t *testing.T, c *copyState, req CopyRequest) []byte {
 	t.Helper()
-	packed, err := c.newer(w).packEntries()
+	packed, err := c.replyTo(req).packEntries()
 	is.New(t).NoErr(err)
 	raw, err := json.Marshal(packed)
 	is.New(t).NoErr(err)
 	return raw
 }
 
-// catchUpFrom has a state copy from another until it has all, and returns the bytes of
-// the largest answer and the number of answers.
-func catchUpFrom(t *testing.T, c, from *copyState) (largest, answers int) {
+// catchUpFrom copies from another state until nothing is missing, and returns the size of the
+// largest reply in bytes and the number of replies.
+func catchUpFrom(t *testing.T, c, from *copyState) (largest, replies int) {
 	t.Helper()
 	for more := true; more; {
-		raw := answer(t, from, c.want())
-		var got Copy
+		raw := encodeReply(t, from, c.copyRequest())
+		var got CopyReply
 		is.New(t).NoErr(json.Unmarshal(raw, &got))
 		got, err := got.unpackEntries()
 		is.New(t).NoErr(err)
-		c.take(got, start)
+		c.applyReply(got, start)
 		more = got.More
-		largest, answers = max(largest, len(raw)), answers+1
+		largest, replies = max(largest, len(raw)), replies+1
 	}
-	return largest, answers
+	return largest, replies
 }
 
-// mostHeld is what a node of 64 MB may hold for those that copy from it at once, in bytes.
-const mostHeld = 8 << 20
+// maxBufferedBytes is what a node with 64 MB of memory may hold for concurrent copies, in
+// bytes.
+const maxBufferedBytes = 8 << 20
 
-// Nodes that begin at once copy all targets from those that have them. What a node holds
-// for them doesn't grow with the targets, and no answer is too large to be sent.
-func TestCopiesOfAWholeFleetAreHeldInParts(t *testing.T) {
+// Starting nodes copy all targets from nodes that have them. The memory for these replies must
+// not grow with the number of targets, and no reply may be too large to be sent.
+func TestFullCopiesAreSentInBoundedParts(t *testing.T) {
 	for _, targets := range []int{200, 10_002, 20_004} {
 		t.Run(fmt.Sprint(targets), func(t *testing.T) {
 			is := is.New(t)
 			full, fresh := filledState(t, targets), newState(t)
-			largest, answers := catchUpFrom(t, fresh, full)
+			largest, replies := catchUpFrom(t, fresh, full)
 			is.Equal(fmt.Sprint(targetsOf(fresh)), fmt.Sprint(targetsOf(full)))
-			is.True(maxCopies*largest <= mostHeld)
-			t.Logf("%d answers of %d bytes at most", answers, largest)
+			is.True(maxConcurrentCopies*largest <= maxBufferedBytes)
+			t.Logf("%d replies of %d bytes at most", replies, largest)
 		})
 	}
 }
 
-// While parts of the first copy are to come, the node isn't ready for callers: it would
-// send all to the targets that it happens to know.
-func TestPartOfTheFirstCopyIsUnfinished(t *testing.T) {
+// A node with only parts of its first copy must not be ready for callers: it would send all
+// requests to the few targets that it has so far.
+func TestPartialFirstCopyIsIncomplete(t *testing.T) {
 	is := is.New(t)
-	full, fresh := filledState(t, 2*maxPart), newState(t)
-	fresh.take(full.newer(fresh.want()), start)
-	is.True(fresh.unfinished)
-	is.Equal(fresh.keeper.Count(), maxPart)
-	got := fresh.newer(newState(t).want()) // nobody takes a part for all
+	full, fresh := filledState(t, 2*maxPartEntries), newState(t)
+	fresh.applyReply(full.replyTo(fresh.copyRequest()), start)
+	is.True(fresh.incomplete)
+	is.Equal(fresh.keeper.Count(), maxPartEntries)
+	got := fresh.replyTo(newState(t).copyRequest()) // a partial copy is not passed on
 	is.Equal(len(got.Entries), 0)
 	is.Equal(got.Revision, int64(0))
-	fresh.take(full.newer(fresh.want()), start)
-	is.True(!fresh.unfinished)
-	is.Equal(fresh.keeper.Count(), 2*maxPart)
+	fresh.applyReply(full.replyTo(fresh.copyRequest()), start)
+	is.True(!fresh.incomplete)
+	is.Equal(fresh.keeper.Count(), 2*maxPartEntries)
 }
 
-// A node that knows nothing newer than a part ends no first copy: it may have begun itself,
-// or have a part too.
-func TestAnswerWithoutNewsEndsNoFirstCopy(t *testing.T) {
+// A reply without newer data doesn't complete the first copy: the sender may have just started,
+// or hold only a part itself.
+func TestReplyWithoutNewerDataDoesNotCompleteFirstCopy(t *testing.T) {
 	is := is.New(t)
-	full, fresh := filledState(t, 2*maxPart), newState(t)
-	fresh.take(full.newer(fresh.want()), start)
-	for _, other := range []*copyState{newState(t), filledState(t, maxPart)} {
-		fresh.take(other.newer(fresh.want()), start)
-		is.True(fresh.unfinished)
+	full, fresh := filledState(t, 2*maxPartEntries), newState(t)
+	fresh.applyReply(full.replyTo(fresh.copyRequest()), start)
+	for _, other := range []*copyState{newState(t), filledState(t, maxPartEntries)} {
+		fresh.applyReply(other.replyTo(fresh.copyRequest()), start)
+		is.True(fresh.incomplete)
 	}
 	catchUpFrom(t, fresh, full)
-	is.True(!fresh.unfinished)
+	is.True(!fresh.incomplete)
 }
 
-// A release replaces nearly half of the targets, each with four changes. Who missed all of
-// it is told what is there now and what is gone, and no more.
-func TestWhoMissedAReleaseIsToldOfItOnce(t *testing.T) {
+// A rollout replaces nearly half of the targets, with four changes for each. A node that missed
+// all of it gets the new targets and the removals once each, and nothing else.
+func TestNodeBehindByARolloutGetsEachKeyOnce(t *testing.T) {
 	const targets, replaced = 10_002, 4_500
 	is := is.New(t)
 	c, behind := filledState(t, targets), filledState(t, targets)
@@ -111,7 +113,7 @@
 	change := func(e Entry) {
 		revision++
 		e.Revision = revision
-		c.change(e, start)
+		c.applyChange(e, start)
 		c.advance(revision)
 	}
 	for i := range replaced {
@@ -119,105 +121,105 @@
 		change(target(old, "draining", 0))
 		change(target(next, "cold", 0))
 		change(Entry{Key: "t/" + old, Removed: true})
-		change(target(next, usualValue(i), 0))
+		change(target(next, typicalValue(i), 0))
 	}
-	told, more := c.history.since(behind.revision, 1<<30)
+	sent, more := c.history.since(behind.revision, 1<<30)
 	is.True(!more)
-	is.Equal(len(told), 2*replaced)
-	is.True(!c.newer(behind.want()).Whole)
+	is.Equal(len(sent), 2*replaced)
+	is.True(!c.replyTo(behind.copyRequest()).Whole)
 	largest, _ := catchUpFrom(t, behind, c)
-	is.True(maxCopies*largest <= mostHeld)
+	is.True(maxConcurrentCopies*largest <= maxBufferedBytes)
 	is.Equal(fmt.Sprint(targetsOf(behind)), fmt.Sprint(targetsOf(c)))
-	is.True(len(c.history.changes) <= 4*targets) // it doesn't grow with the changes
+	is.True(len(c.history.changes) <= 4*targets) // the history doesn't grow with the number of changes
 }
 
-// Removals that a node has forgotten can't be told one by one: who may hold such targets
-// gets all, in parts, and keeps what it has until the last part is there.
-func TestForgottenRemovalsEndInAWholeCopy(t *testing.T) {
+// Removals whose tombstones were discarded can't be sent one by one: a node that may hold such
+// targets gets a full copy, in parts, and keeps its targets until the last part has arrived.
+func TestDiscardedTombstonesForceFullCopy(t *testing.T) {
 	is := is.New(t)
 	c, behind := newState(t), newState(t)
 	for _, s := range []*copyState{c, behind} {
-		s.change(target("stays", "1", 1), start)
-		s.change(target("goes", "1", 2), start)
+		s.applyChange(target("stays", "1", 1), start)
+		s.applyChange(target("goes", "1", 2), start)
 		s.advance(2)
 	}
 	revision := int64(2)
 	next := func() int64 { revision++; return revision }
-	c.change(Entry{Key: "t/goes", Revision: next(), Removed: true}, start)
-	for i := range 2*minRemoved + 1 {
+	c.applyChange(Entry{Key: "t/goes", Revision: next(), Removed: true}, start)
+	for i := range 2*minTombstones + 1 {
 		key := fmt.Sprint("passing", i)
-		c.change(target(key, "1", next()), start)
-		c.change(Entry{Key: "t/" + key, Revision: next(), Removed: true}, start)
+		c.applyChange(target(key, "1", next()), start)
+		c.applyChange(Entry{Key: "t/" + key, Revision: next(), Removed: true}, start)
 	}
-	for i := range maxPart {
-		c.change(target(fmt.Sprint("new", i), "1", next()), start)
+	for i := range maxPartEntries {
+		c.applyChange(target(fmt.Sprint("new", i), "1", next()), start)
 	}
 	c.advance(revision)
-	first := c.newer(behind.want())
+	first := c.replyTo(behind.copyRequest())
 	is.True(first.Whole && first.More)
-	behind.take(first, start)
+	behind.applyReply(first, start)
 	is.Equal(behind.keeper.Count(), 2)
 	catchUpFrom(t, behind, c)
 	is.Equal(fmt.Sprint(targetsOf(behind)), fmt.Sprint(targetsOf(c)))
 	is.Equal(behind.revision, c.revision)
 }
 
-// A node of a release that doesn't know of parts gets all at once, and its answers are
-// taken as they are.
+// A node whose release doesn't support parts gets everything in one reply, and its own replies,
+// which have no Head, are applied as they are.
 func TestCopiesWithoutParts(t *testing.T) {
 	is := is.New(t)
-	full, fresh := filledState(t, 3*maxPart), newState(t)
-	got := full.newer(Want{})
+	full, fresh := filledState(t, 3*maxPartEntries), newState(t)
+	got := full.replyTo(CopyRequest{})
 	is.True(!got.More && len(got.Packed) == 0)
 	got.Head = 0
-	fresh.take(got, start)
+	fresh.applyReply(got, start)
 	is.Equal(fmt.Sprint(targetsOf(fresh)), fmt.Sprint(targetsOf(full)))
-	is.True(!fresh.unfinished)
+	is.True(!fresh.incomplete)
 }
 
-// Whatever changes while a node copies in parts, from whichever nodes, it has in the end
-// what they have.
+// Whatever changes while a node copies in parts, from whichever nodes, it ends with the same
+// targets as they have.
 func TestCopiesInPartsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		givers := []*copyState{newState(t), newState(t)}
+		sources := []*copyState{newState(t), newState(t)}
 		behind := newState(t)
 		revision := int64(0)
 		write := func(states ...*copyState) {
 			revision++
 			e := drawChange(t, revision)
 			for _, s := range states {
-				s.change(e, start)
+				s.applyChange(e, start)
 				s.advance(revision)
 			}
 		}
-		all := append(givers[:2:2], behind)
+		all := append(sources[:2:2], behind)
 		for range rapid.IntRange(0, 20).Draw(t, "known to all") {
 			write(all...)
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "missed") {
-			write(givers...)
+			write(sources...)
 		}
-		if rapid.Bool().Draw(t, "forgets") {
-			givers[0].history.forget(len(givers[0].history.removed))
+		if rapid.Bool().Draw(t, "tombstones discarded") {
+			sources[0].history.discardTombstones(len(sources[0].history.tombstones))
 		}
 		for range 200 {
-			giver := givers[rapid.IntRange(0, 1).Draw(t, "giver")]
-			got := giver.newerParts(behind.want(), rapid.IntRange(1, 5).Draw(t, "part"))
-			behind.take(got, start)
+			source := sources[rapid.IntRange(0, 1).Draw(t, "source")]
+			got := source.replyWithLimit(behind.copyRequest(), rapid.IntRange(1, 5).Draw(t, "part"))
+			behind.applyReply(got, start)
 			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
-				write(givers...)
+				write(sources...)
 			}
 			if behind.revision == revision {
 				break
 			}
 		}
 		for behind.revision < revision {
-			behind.take(givers[0].newer(behind.want()), start)
+			behind.applyReply(sources[0].replyTo(behind.copyRequest()), start)
 		}
 		behind.keeper.Expire(start.Add(1 << 40))
-		givers[1].keeper.Expire(start.Add(1 << 40))
-		if fmt.Sprint(targetsOf(behind)) != fmt.Sprint(targetsOf(givers[1])) {
-			t.Fatalf("%v, not %v", targetsOf(behind), targetsOf(givers[1]))
+		sources[1].keeper.Expire(start.Add(1 << 40))
+		if fmt.Sprint(targetsOf(behind)) != fmt.Sprint(targetsOf(sources[1])) {
+			t.Fatalf("%v, not %v", targetsOf(behind), targetsOf(sources[1]))
 		}
 	})
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -17,54 +17,55 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// ServiceID is the kernel name of the Replica.
+// ServiceID is the name of the Replica in the kernel.
 const ServiceID kernel.ID = "replica.copy"
 
 const (
-	// checkInterval is the time between two looks at the other nodes' versions
-	// and at targets whose grace has ended.
+	// checkInterval is the time between two checks of other nodes' versions and of targets
+	// whose grace period has ended.
 	checkInterval = 200 * time.Millisecond
 )
 
-// Source is the part of the platform's store that a replica reads.
+// Source is the part of the platform's store that a replica uses.
 type Source interface {
 	// Revision returns the store's newest revision.
 	Revision(ctx context.Context) (int64, error)
-	// List reads all keys under prefix. Before each further page it asks next, with the
-	// revision of the first; an error ends the list with what was read so far.
+	// List reads all keys under prefix. Before each page but the first it calls next with the
+	// revision of the first page; an error from next ends the list, and what was read so far is
+	// returned with that error.
 	List(ctx context.Context, prefix string, next func(ctx context.Context, revision int64) error) (store.Page, error)
 	Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error)
-	// Put writes a key without a condition.
+	// Put writes a key unconditionally.
 	Put(ctx context.Context, key string, value []byte) error
 }
 
-// Peers tells what other nodes have.
+// Peers provides the versions that other nodes have.
 type Peers interface {
-	// Ahead returns a live node that is ahead of the versions given.
+	// Ahead returns a live node whose versions are newer than those given.
 	Ahead(catalog, revision int64) (node string, ok bool)
-	// Confirmed returns when a node at the revision last knew that it is the
-	// store's newest; zero for never.
+	// Confirmed returns when a node at the given revision last confirmed that it is the store's
+	// newest; zero for never.
 	Confirmed(revision int64) time.Time
-	// ConfirmedBeyond returns when a live node at a later revision last knew that that is
-	// the store's newest; zero for never.
+	// ConfirmedBeyond returns when a live node at a later revision last confirmed that its
+	// revision is the store's newest; zero for never.
 	ConfirmedBeyond(revision int64) time.Time
-	// Rank returns how many live nodes go before this one as watchers of the
-	// store; those that can't reach it come last. heard is the number of
-	// other nodes that were heard at all.
-	Rank(storeLost bool) (rank, heard int)
-	// Announce tells some nodes at once which versions this one has.
+	// Rank returns how many live nodes precede this one in the order of watchers; nodes that
+	// can't reach the store come last. discovered is the number of other nodes from which
+	// heartbeats were received.
+	Rank(storeLost bool) (rank, discovered int)
+	// Announce sends this node's versions to some other nodes at once.
 	Announce()
 }
 
 // Network carries calls between nodes.
 type Network interface {
 	Handle(method string, f peer.Handler)
-	// Limit bounds the calls of a method that are served at once.
-	Limit(method string, most int)
+	// Limit bounds the concurrently served calls of a method.
+	Limit(method string, limit int)
 	Call(ctx context.Context, addr, method string, params, result any) error
 }
 
-// Replica is a node's copy of the configuration and the targets.
+// Replica holds a node's copy of the configuration and the targets and keeps it up to date.
 type Replica struct {
 	store   Source
 	schema  Schema
@@ -75,86 +76,87 @@
 	metrics *metrics
 
 	catalog atomic.Pointer[catalog.Catalog]
-	// targets is the number of targets, without the withdrawn ones.
+	// targets is the number of targets without the withdrawn ones.
 	targets atomic.Int64
 
 	mu          sync.Mutex
 	state       *copyState
 	behindSince time.Time
 	storeLost   bool
-	// copyDue is when the next copy may be made at the earliest; check alone uses it.
+	// copyDue is the earliest time of the next copy; only the goroutine of check uses it.
 	copyDue time.Time
-	// confirmed is when the copy was last known to be as new as the store.
-	confirmed time.Time
-	auditAt   time.Time
-	// behindStore is when an audit found that the store has storeRevision, which
-	// the copy lacks; zero for never.
-	behindStore   time.Time
-	storeRevision int64
-	// behindAt is the copy's revision then.
-	behindAt int64
-	// stale means that the copy lacks changes which the watch did not bring.
+	// confirmed is when the copy was last confirmed to be as new as the store.
+	confirmed   time.Time
+	nextAuditAt time.Time
+	// behindStoreSince is when an audit found that the store is at storeRevision and the copy
+	// behind it; zero if the copy isn't known to be behind.
+	behindStoreSince time.Time
+	storeRevision    int64
+	// behindRevision is the revision of the copy at behindStoreSince.
+	behindRevision int64
+	// stale means that the copy lacks changes which the watch did not deliver.
 	stale bool
-	// readFrom is when the read in progress began.
-	readFrom time.Time
-	// mustRead means that no copy of another node stands in for a read of all.
-	mustRead bool
-	// readAt is when all was read from the store last.
-	readAt time.Time
-	// evacuated are the failure domains that are, as they were published last.
-	evacuated map[string]bool
-	rng       *rand.Rand
-	// restart ends the watch in progress.
-	restart   context.CancelFunc
-	onTargets []func([]roster.Difference)
-	// watching says that this node is one of those that watch the store;
-	// elected wakes follow when that changes.
-	watching bool
-	rank     int
-	began    time.Time
-	onNote   []func([]byte)
-	noteRead bool
-	lines    lineBudget
-
-	// begun is closed with the first configuration, by begin.
-	begun    chan struct{}
-	begin    sync.Once
-	elected  chan struct{}
-	announce chan struct{}
-	poke     chan struct{}
+	// listStarted is when the current list of the store began.
+	listStarted time.Time
+	// mustList means that a list of the store can't be replaced by another node's copy.
+	mustList bool
+	// lastListed is when the store was last listed completely.
+	lastListed time.Time
+	// publishedDomains are the evacuated failure domains that were published last.
+	publishedDomains map[string]bool
+	rng              *rand.Rand
+	// cancelWatch ends the current watch.
+	cancelWatch context.CancelFunc
+	onTargets   []func([]roster.Difference)
+	// watching means that this node watches the store; wakeup wakes follow when that changes or
+	// a list is due.
+	watching      bool
+	rank          int
+	startedAt     time.Time
+	onNote        []func([]byte)
+	noteDelivered bool
+	logLimiter    logLimiter
+
+	// initialized is closed by initOnce when the first configuration is in force.
+	initialized chan struct{}
+	initOnce    sync.Once
+	wakeup      chan struct{}
+	announce    chan struct{}
+	checkNow    chan struct{}
 }
 
-// New returns a replica that holds nothing yet.
+// New returns an empty replica.
 func New(st Source, s Schema, p Peers, n Network, l *log.Logger, reg prometheus.Registerer) *Replica {
 	r := &Replica{
 		store: st, schema: s, peers: p, network: n, log: l, now: time.Now, metrics: newMetrics(reg),
-		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		begun:   make(chan struct{}),
-		elected: make(chan struct{}, 1), announce: make(chan struct{}, 1), poke: make(chan struct{}, 1),
+		rng:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		initialized: make(chan struct{}),
+		wakeup:      make(chan struct{}, 1), announce: make(chan struct{}, 1), checkNow: make(chan struct{}, 1),
 	}
-	r.state = newCopyState(s, r.problem, r.unusable)
-	n.Handle(method, r.serveCopy)
-	n.Limit(method, maxCopies)
+	r.state = newCopyState(s, r.reportInvalidValue, r.reportUnusableEntry)
+	n.Handle(copyMethod, r.serveCopy)
+	n.Limit(copyMethod, maxConcurrentCopies)
 	return r
 }
 
 // ID implements kernel.Service.
 func (r *Replica) ID() kernel.ID { return ServiceID }
 
-// Catalog returns the configuration in force, nil before the first.
+// Catalog returns the configuration in force, or nil before the first one.
 func (r *Replica) Catalog() *catalog.Catalog { return r.catalog.Load() }
 
-// OnTargets calls f with each change of the targets. It must be called before Start; f
-// must not call the replica.
+// OnTargets registers f to be called with each change of the targets. It must be called before
+// Start; f must not call the replica.
 func (r *Replica) OnTargets(f func([]roster.Difference)) { r.onTargets = append(r.onTargets, f) }
 
-// Versions returns the version of the configuration and the revision of the
-// targets, 0 for none. While the first copy is unfinished there is nothing to pass on.
+// Versions returns the version of the configuration and the revision of the targets, 0 for
+// none. The revision is 0 until the first copy is complete, since a partial copy must not be
+// passed on.
 func (r *Replica) Versions() (catalogVersion, revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	catalogVersion, revision = r.versions()
-	if r.state.unfinished {
+	if r.state.incomplete {
 		revision = 0
 	}
 	return catalogVersion, revision
@@ -167,34 +169,35 @@
 	return catalogVersion, r.state.revision
 }
 
-// Ready says whether the node has what it needs to serve.
+// Ready reports whether the node has a configuration and a complete, non-empty copy of the
+// targets.
 func (r *Replica) Ready() bool {
-	return r.Catalog() != nil && r.targets.Load() > 0 && !r.isUnfinished()
+	return r.Catalog() != nil && r.targets.Load() > 0 && !r.isIncomplete()
 }
 
-// isUnfinished says whether the node has a part of its first copy only.
-func (r *Replica) isUnfinished() bool {
+// isIncomplete reports whether the node holds only parts of its first copy.
+func (r *Replica) isIncomplete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.unfinished
+	return r.state.incomplete
 }
 
 // Start implements kernel.Starter.
 func (r *Replica) Start(ctx context.Context) error {
-	r.began = r.now()
+	r.startedAt = r.now()
 	go r.follow(ctx)
 	go r.check(ctx)
 	return nil
 }
 
-func (r *Replica) problem(key string, revision int64, err error) {
+func (r *Replica) reportInvalidValue(key string, revision int64, err error) {
 	r.metrics.invalid.Inc()
 	r.log.Error("value in the store is unusable; the last good one stays in force",
 		"key", key, "revision", revision, "err", err)
 }
 
-// list takes all that the store holds.
-func (r *Replica) list(p store.Page) {
+// applyList replaces the copy by a complete list of the store.
+func (r *Replica) applyList(p store.Page) {
 	entries := make([]Entry, 0, len(p.KVs))
 	for _, kv := range p.KVs {
 		entries = append(entries, entryOf(kv))
@@ -202,32 +205,32 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmed = r.now()
-	r.readNote(p)
-	r.readAt, r.mustRead = r.now(), false
-	all := Copy{Entries: entries, Revision: p.Revision, Whole: true, Evacuations: true}
-	r.publish(r.state.put(all, r.now()), sourceStore)
+	r.deliverNote(p)
+	r.lastListed, r.mustList = r.now(), false
+	all := CopyReply{Entries: entries, Revision: p.Revision, Whole: true, Evacuations: true}
+	r.publish(r.state.replaceAll(all, r.now()), sourceStore)
 }
 
-// events takes a batch of changes of the store.
-func (r *Replica) events(b store.Batch) {
+// applyBatch applies a batch of events from a watch.
+func (r *Replica) applyBatch(b store.Batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all changes
 	for _, ev := range b.Events {
-		all.add(r.state.change(changeOf(ev), r.now()))
+		all.add(r.state.applyChange(changeOf(ev), r.now()))
 	}
 	advanced := b.Revision > r.state.revision
 	r.state.advance(b.Revision)
 	r.confirmed = r.now()
 	r.publish(all, sourceStore)
 	if advanced {
-		// Also a change that is of no interest here is told on, or nodes that
-		// audit would take their copies for old.
-		r.changed()
+		// Revisions without changes to this copy are announced as well. Otherwise nodes that
+		// audit the store would take their copies for outdated.
+		r.requestAnnounce()
 	}
 }
 
-// publish makes changes visible. It is called with the lock held.
+// publish makes changes visible to readers and other nodes. Callers must hold r.mu.
 func (r *Replica) publish(ch changes, source string) {
 	if ch.catalog {
 		r.publishCatalog(source)
@@ -239,74 +242,75 @@
 		r.publishTargets(source)
 	}
 	if r.state.catalog != nil {
-		r.begin.Do(func() { close(r.begun) })
+		r.initOnce.Do(func() { close(r.initialized) })
 	}
 }
 
-// Begun is closed when the node has its first configuration, and what was read with it.
-func (r *Replica) Begun() <-chan struct{} { return r.begun }
+// Begun returns a channel that is closed when the first configuration and the data that came
+// with it are in force.
+func (r *Replica) Begun() <-chan struct{} { return r.initialized }
 
-// publishEvacuations is called with the lock held.
+// publishEvacuations publishes the evacuated failure domains. Callers must hold r.mu.
 func (r *Replica) publishEvacuations(source string) {
-	now := r.state.evacuated()
+	now := r.state.evacuatedDomains()
 	for domain := range now {
-		if !r.evacuated[domain] {
+		if !r.publishedDomains[domain] {
 			r.logEvacuation("failure domain evacuated", domain, source)
 		}
 	}
-	for domain := range r.evacuated {
+	for domain := range r.publishedDomains {
 		if !now[domain] {
 			r.logEvacuation("failure domain taken back", domain, source)
 		}
 	}
-	r.evacuated = now
+	r.publishedDomains = now
 	r.metrics.evacuated.Set(float64(len(now)))
 	r.metrics.changes.WithLabelValues("evacuations", source).Inc()
-	r.changed()
+	r.requestAnnounce()
 }
 
-// logEvacuation is called with the lock held. A domain without targets may be one that
-// the operator misspelt.
+// logEvacuation logs a change with the domain's number of targets: a domain without targets may
+// be a misspelt name. Callers must hold r.mu.
 func (r *Replica) logEvacuation(msg, domain, source string) {
-	r.log.Info(msg, "failure_domain", domain, "targets", r.state.keeper.CountIn(domain),
+	r.log.Info(msg, "failure_domain", domain, "targets", r.state.keeper.CountInDomain(domain),
 		"revision", r.state.revision, "source", source)
 }
 
-// publishCatalog is called with the lock held.
+// publishCatalog publishes the configuration. Callers must hold r.mu.
 func (r *Replica) publishCatalog(source string) {
 	c := r.state.catalog
 	r.catalog.Store(c)
 	r.metrics.changes.WithLabelValues("catalog", source).Inc()
-	r.changed()
+	r.requestAnnounce()
 	routes, services := c.Counts()
 	r.log.Info("configuration in force", "version", c.Version(), "revision", r.state.catalogEntry.Revision,
 		"source", source, "routes", routes, "services", services)
 }
 
-// publishTargets is called with the lock held.
+// publishTargets publishes the targets. Callers must hold r.mu.
 func (r *Replica) publishTargets(source string) {
 	changed := r.state.keeper.Changes()
 	count := r.state.keeper.Count()
 	r.logTargets(changed, source)
 	r.targets.Store(int64(count))
 	r.metrics.changes.WithLabelValues("targets", source).Inc()
-	r.changed()
+	r.requestAnnounce()
 	r.log.Info("targets in force", "revision", r.state.revision, "source", source, "count", count)
 	for _, f := range r.onTargets {
 		f(changed)
 	}
 }
 
-// Changes that come together have a line each up to lineEach; more have a line for each
-// kind of change, which names the first lineSample of them.
+// Up to maxTargetLines changes published together are logged on a line each. More are logged on
+// one line for each kind of change, with the first sampleSize targets.
 const (
-	lineEach   = 8
-	lineSample = 3
+	maxTargetLines = 8
+	sampleSize     = 3
 )
 
-// logTargets is called with the lock held.
+// logTargets logs changes of targets. Callers must hold r.mu.
 func (r *Replica) logTargets(changed []roster.Difference, source string) {
-	if len(changed) <= lineEach {
+	if len(changed) <= maxTargetLines {
 		for _, d := range changed {
 			r.log.Info("target changed", "target", d.Target.ID, "service", d.Target.Service, "addr", d.Target.Addr,
 				"change", d.Change, "revision", r.state.revision, "source", source)
@@ -318,27 +322,28 @@
 		kinds[d.Change] = append(kinds[d.Change], d.Target.ID)
 	}
 	for change, ids := range kinds {
-		r.log.Info("targets changed", "change", change, "count", len(ids), "first", ids[:min(len(ids), lineSample)],
+		r.log.Info("targets changed", "change", change, "count", len(ids), "first", ids[:min(len(ids), sampleSize)],
 			"revision", r.state.revision, "source", source)
 	}
 }
 
-// changed has other nodes told of a change. Exchanging reports needs the lock
-// of the replica, which the caller holds, so it is done elsewhere.
-func (r *Replica) changed() {
+// requestAnnounce makes check announce this node's versions to other nodes. The announcement
+// reads the replica's versions under r.mu, which the caller holds, so it runs on another
+// goroutine.
+func (r *Replica) requestAnnounce() {
 	select {
 	case r.announce <- struct{}{}:
 	default:
 	}
 }
 
-// storeAnswered and storeFailed note whether the store is in reach.
+// storeAnswered and storeFailed record whether the store is reachable.
 func (r *Replica) storeAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.storeLost {
 		r.log.Info("store regained")
-		r.state.keeper.Disturbed(r.now())
+		r.state.keeper.MarkOutage(r.now())
 	}
 	r.storeLost = false
 }
@@ -351,10 +356,11 @@
 		r.log.Warn("store lost; the last values stay in force", "revision", r.state.revision, "err", err)
 	}
 	r.storeLost = true
-	r.state.keeper.Disturbed(r.now())
+	r.state.keeper.MarkOutage(r.now())
 }
 
-// check copies from nodes that are ahead and ends the grace of targets.
+// check copies from nodes that are ahead, expires targets whose grace period has ended, updates
+// the watcher role and starts audits.
 func (r *Replica) check(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -366,11 +372,11 @@
 		case <-r.announce:
 			r.peers.Announce()
 			continue
-		case <-r.poke:
+		case <-r.checkNow:
 		case <-due:
 		case <-tick.C:
 			r.expire()
-			r.elect()
+			r.updateWatcherRole()
 			if r.auditDue() {
 				go r.audit(ctx)
 			}
@@ -381,8 +387,8 @@
 	}
 }
 
-// Heard says which versions another node has, for the replica to look at once
-// whether it is behind.
+// Heard handles the versions that another node reports. If that node is ahead, check looks at
+// once whether to copy from it.
 func (r *Replica) Heard(catalogVersion, revision int64) {
 	r.mu.Lock()
 	ownCatalog, ownRevision := r.versions()
@@ -390,7 +396,7 @@
 	if catalogVersion <= ownCatalog && revision <= ownRevision {
 		return
 	}
-	r.look()
+	r.triggerCheck()
 }
 
 func (r *Replica) expire() {
--- a/replica/state.go
+++ b/replica/state.go
@@ -1,6 +1,6 @@
-// Package replica keeps a node's copy of what the platform's store says: the
-// configuration and the targets. It follows the store by watches and, where
-// the store doesn't answer or lags, learns from other nodes.
+// Package replica keeps a node's copy of the configuration and the targets in the platform's
+// store. It follows the store by watches and, where the store doesn't answer or is late, copies
+// from other nodes.
 package replica
 
 import (
@@ -11,86 +11,87 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Schema says which keys of the store hold what, and decodes their values.
+// Schema defines which keys of the store hold what, and decodes their values.
 type Schema interface {
-	// Prefix starts the keys of both.
+	// Prefix returns the common prefix of all keys of the schema.
 	Prefix() string
-	// CatalogKey holds the configuration in force.
+	// CatalogKey returns the key of the configuration in force.
 	CatalogKey() string
-	// TargetPrefix starts the keys of the targets' entries.
+	// TargetPrefix returns the prefix of the keys of targets.
 	TargetPrefix() string
-	// EvacuationPrefix starts the keys that are there while a failure domain is
-	// evacuated; the rest of the key is its name.
+	// EvacuationPrefix returns the prefix of the keys that exist while a failure domain is
+	// evacuated; the rest of the key is the domain's name.
 	EvacuationPrefix() string
-	// CheckEvacuation says whether the value of such a key can be read.
+	// CheckEvacuation returns an error if the value of such a key can't be decoded.
 	CheckEvacuation(value []byte) error
-	// NoteKey holds the nodes' own note, see Replica.SaveNote.
+	// NoteKey returns the key of the nodes' note, see Replica.SaveNote.
 	NoteKey() string
 	DecodeCatalog(value []byte) (*catalog.Catalog, error)
 	DecodeTarget(key string, value []byte) (roster.Target, error)
 }
 
-// Entry is a key with its value, as it is passed between nodes.
+// Entry is a key of the store with its value, as nodes send it to each other.
 type Entry struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
-	// Removed entries have no value; they occur among changes only.
+	// Removed marks a removed key. It has no value and occurs only among changes.
 	Removed bool `json:"removed,omitempty"`
-	// Packed values are compressed by DEFLATE. Only configurations are.
+	// Packed means that Value is compressed by DEFLATE. Only configurations are.
 	Packed bool `json:"packed,omitempty"`
-	// Fault says why the entry names no target to use, empty if it does. Such an
-	// entry is passed on without its value.
+	// Fault is the reason why the entry doesn't describe a usable target, empty if it does. An
+	// entry with a fault is sent without its value.
 	Fault roster.EntryFault `json:"fault,omitempty"`
 }
 
-// copyState is the copy itself. It is pure: it is told of changes and of the
-// time. One goroutine at a time may use it.
+// copyState holds the copy. It does no I/O and reads no clock: callers pass changes and the
+// time. It is not safe for concurrent use.
 type copyState struct {
 	schema  Schema
 	catalog *catalog.Catalog
-	// catalogEntry is the entry that catalog was decoded from, packed.
+	// catalogEntry is the entry from which catalog was decoded, packed.
 	catalogEntry Entry
-	// revision is the store's up to which the copy is whole.
+	// revision is the store's revision up to which the copy is complete.
 	revision int64
 	targets  map[string]heldEntry
 	keeper   *roster.Keeper
 	// evacuations are the entries of evacuated failure domains, by key.
 	evacuations map[string]Entry
-	// history says which targets and evacuations changed when.
+	// history records when targets and evacuations changed.
 	history history
-	// staged gathers the parts of a whole copy that is to replace this one, nil if
-	// there is none.
+	// staged collects the parts of a full copy that will replace this one; nil if there is
+	// none.
 	staged *staging
-	// unfinished says that parts of the first copy are still to come, up to firstHead.
-	unfinished bool
-	firstHead  int64
-	// problems takes configurations that can't be used; the last good one stays.
-	problems noticeFunc
-	// unusable takes entries that name no target to use, each change once.
-	unusable noticeFunc
+	// incomplete means that parts of the first copy, which ends at firstCopyHead, are missing.
+	incomplete    bool
+	firstCopyHead int64
+	// onInvalid is called for configurations and evacuations whose value can't be decoded. The
+	// last valid configuration stays in force.
+	onInvalid invalidValueFunc
+	// onUnusable is called once for each change that leaves an entry without a usable target.
+	onUnusable invalidValueFunc
 }
 
-// noticeFunc takes a value that can't be used.
-type noticeFunc func(key string, revision int64, err error)
+// invalidValueFunc handles a value that can't be used.
+type invalidValueFunc func(key string, revision int64, err error)
 
-func newCopyState(s Schema, problems, unusable noticeFunc) *copyState {
+func newCopyState(s Schema, onInvalid, onUnusable invalidValueFunc) *copyState {
 	return &copyState{
 		schema: s, targets: make(map[string]heldEntry), keeper: roster.NewKeeper(),
 		evacuations: make(map[string]Entry), history: newHistory(),
-		problems: problems, unusable: unusable,
+		onInvalid: onInvalid, onUnusable: onUnusable,
 	}
 }
 
-// putCatalog takes a configuration. An older one than that in force, or one
-// that can't be used, changes nothing.
+// putCatalog applies a configuration. It ignores one that is older than that in force or can't
+// be decoded.
 func (c *copyState) putCatalog(e Entry) bool {
 	if e.Revision <= c.catalogEntry.Revision {
 		return false
 	}
 	next, err := c.decodeCatalog(e)
 	if err != nil {
-		c.problems(e.Key, e.Revision, err)
+		c.onInvalid(e.Key, e.Revision, err)
 		return false
 	}
 	if c.catalog != nil && next.Version() <= c.catalog.Version() {
@@ -108,7 +109,7 @@
 	return c.schema.DecodeCatalog(value)
 }
 
-// changes says what an update changed.
+// changes reports which parts of the copy an update changed.
 type changes struct{ catalog, targets, evacuations bool }
 
 func (c *changes) add(d changes) {
@@ -117,14 +118,14 @@
 	c.evacuations = c.evacuations || d.evacuations
 }
 
-// put replaces the whole copy by that of got. Evacuations that got doesn't cover stay
-// as they are.
-func (c *copyState) put(got Copy, now time.Time) changes {
+// replaceAll replaces the whole copy by the entries of got. If got doesn't cover evacuations,
+// those of this copy stay.
+func (c *copyState) replaceAll(got CopyReply, now time.Time) changes {
 	if got.Revision < c.revision {
 		return changes{}
 	}
 	c.revision = got.Revision
-	c.staged, c.unfinished, c.firstHead = nil, false, 0
+	c.staged, c.incomplete, c.firstCopyHead = nil, false, 0
 	var out changes
 	var targets, evacuations []Entry
 	for _, e := range got.Entries {
@@ -137,16 +138,16 @@
 			evacuations = append(evacuations, e)
 		}
 	}
-	out.targets = c.putTargets(targets, now)
+	out.targets = c.replaceTargets(targets, now)
 	if got.Evacuations {
-		out.add(c.putEvacuations(evacuations, now))
+		out.add(c.replaceEvacuations(evacuations, now))
 	}
-	c.recount()
+	c.rebuildHistory()
 	return out
 }
 
-// recount brings the history up to what the copy holds now.
-func (c *copyState) recount() {
+// rebuildHistory makes the history match the current entries.
+func (c *copyState) rebuildHistory() {
 	held := make([]keyChange, 0, len(c.targets)+len(c.evacuations))
 	for key, e := range c.targets {
 		held = append(held, keyChange{e.Revision, key})
@@ -158,22 +159,22 @@
 	c.history.trim(len(held))
 }
 
-// change takes one change. The copy is whole up to the change before it.
-func (c *copyState) change(e Entry, now time.Time) changes {
+// applyChange applies one change. The copy must be complete up to the change before it.
+func (c *copyState) applyChange(e Entry, now time.Time) changes {
 	switch {
 	case e.Revision <= c.revision && e.Key != c.schema.CatalogKey():
 		return changes{}
 	case e.Key == c.schema.CatalogKey() && !e.Removed:
 		return changes{catalog: c.putCatalog(e)}
 	case c.isTarget(e.Key):
-		return changes{targets: c.changeTarget(e, now)}
+		return changes{targets: c.applyTargetChange(e, now)}
 	case c.isEvacuation(e.Key):
-		return c.changeEvacuation(e, now)
+		return c.applyEvacuation(e, now)
 	}
 	return changes{}
 }
 
-// advance records that all changes up to revision are in the copy.
+// advance records that the copy includes all changes up to revision.
 func (c *copyState) advance(revision int64) { c.revision = max(c.revision, revision) }
 
 func entryOf(kv store.KV) Entry { return Entry{Key: kv.Key, Value: kv.Value, Revision: kv.ModRevision} }
--- a/replica/state_test.go
+++ b/replica/state_test.go
@@ -16,25 +16,25 @@
 
 var start = time.Unix(1000, 0)
 
-// plain is a schema whose configuration is a version and whose targets are a
-// service's name.
-type plain struct{}
+// testSchema is a schema whose configuration is a version and whose targets' values are their
+// addresses.
+type testSchema struct{}
 
-func (plain) Prefix() string       { return "" }
-func (plain) CatalogKey() string   { return "config" }
-func (plain) TargetPrefix() string { return "t/" }
-func (plain) NoteKey() string      { return "note" }
+func (testSchema) Prefix() string       { return "" }
+func (testSchema) CatalogKey() string   { return "config" }
+func (testSchema) TargetPrefix() string { return "t/" }
+func (testSchema) NoteKey() string      { return "note" }
 
-func (plain) EvacuationPrefix() string { return "e/" }
+func (testSchema) EvacuationPrefix() string { return "e/" }
 
-func (plain) CheckEvacuation(value []byte) error {
+func (testSchema) CheckEvacuation(value []byte) error {
 	if len(value) == 0 {
 		return errors.New("empty")
 	}
 	return nil
 }
 
-func (plain) DecodeCatalog(value []byte) (*catalog.Catalog, error) {
+func (testSchema) DecodeCatalog(value []byte) (*catalog.Catalog, error) {
 	var version int64
 	if err := json.Unmarshal(value, &version); err != nil {
 		return nil, err
@@ -42,21 +42,21 @@
 	return catalog.New(catalog.Content{Version: version})
 }
 
-func (plain) DecodeTarget(key string, value []byte) (roster.Target, error) {
+func (testSchema) DecodeTarget(key string, value []byte) (roster.Target, error) {
 	if len(value) == 0 {
 		return roster.Target{}, errors.New("empty")
 	}
 	return roster.Target{ID: key, Service: "s", Addr: string(value)}, nil
 }
 
-// everything is all that the store holds at a revision.
-func everything(entries []Entry, revision int64) Copy {
-	return Copy{Entries: entries, Revision: revision, Whole: true, Evacuations: true}
+// fullCopy returns a copy of all entries of the store at a revision.
+func fullCopy(entries []Entry, revision int64) CopyReply {
+	return CopyReply{Entries: entries, Revision: revision, Whole: true, Evacuations: true}
 }
 
 func newState(t interface{ Log(...any) }) *copyState {
 	notice := func(key string, _ int64, err error) { t.Log(key, err) }
-	return newCopyState(plain{}, notice, notice)
+	return newCopyState(testSchema{}, notice, notice)
 }
 
 func config(version int64, revision int64) Entry {
@@ -67,11 +67,11 @@
 	return Entry{Key: "t/" + name, Value: []byte(addr), Revision: revision}
 }
 
-func TestVersionsOnlyGoUp(t *testing.T) {
+func TestCatalogVersionNeverDecreases(t *testing.T) {
 	is, c := is.New(t), newState(t)
 	is.True(c.putCatalog(config(4, 10)))
-	is.True(!c.putCatalog(config(3, 11))) // older, written later
-	is.True(!c.putCatalog(config(9, 9)))  // newer, from an older state of the store
+	is.True(!c.putCatalog(config(3, 11))) // older version, written later
+	is.True(!c.putCatalog(config(9, 9)))  // newer version, from an older revision of the store
 	is.True(!c.putCatalog(Entry{Key: "config", Value: []byte("x"), Revision: 12}))
 	is.Equal(c.catalog.Version(), int64(4))
 	is.True(c.putCatalog(config(5, 13)))
@@ -79,34 +79,34 @@
 
 func TestOlderCopyChangesNothing(t *testing.T) {
 	is, c := is.New(t), newState(t)
-	c.put(everything([]Entry{target("a", "1", 5), target("b", "1", 6)}, 6), start)
-	is.Equal(c.put(everything([]Entry{target("a", "1", 5)}, 5), start), changes{})
+	c.replaceAll(fullCopy([]Entry{target("a", "1", 5), target("b", "1", 6)}, 6), start)
+	is.Equal(c.replaceAll(fullCopy([]Entry{target("a", "1", 5)}, 5), start), changes{})
 	is.Equal(c.keeper.Count(), 2)
 }
 
-// Whatever two nodes have seen, one that takes what the other passes on has the
-// same targets and configuration, by changes or as a whole.
+// Whatever changes two nodes have seen, one that applies the other's reply has the same targets
+// and configuration, whether the reply contains changes or everything.
 func TestCopiesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ahead, behind := newState(t), newState(t)
-		begun := rapid.IntRange(0, 30).Draw(t, "begun")
-		left := rapid.IntRange(0, 30).Draw(t, "left")
+		relistedAt := rapid.IntRange(0, 30).Draw(t, "relisted at")
+		missedFrom := rapid.IntRange(0, 30).Draw(t, "missed from")
 		revision := int64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			revision++
 			e := drawChange(t, revision)
-			if i == begun {
-				ahead.put(everything(entries(ahead), ahead.revision), start) // forgets its changes
+			if i == relistedAt {
+				ahead.replaceAll(fullCopy(entries(ahead), ahead.revision), start) // rebuilds the history
 			}
-			ahead.change(e, start)
+			ahead.applyChange(e, start)
 			ahead.advance(revision)
-			if i < left {
-				behind.change(e, start)
+			if i < missedFrom {
+				behind.applyChange(e, start)
 				behind.advance(revision)
 			}
 		}
-		want := Want{CatalogRevision: behind.catalogEntry.Revision, Revision: behind.revision}
-		behind.take(ahead.newer(want), start)
+		req := CopyRequest{CatalogRevision: behind.catalogEntry.Revision, Revision: behind.revision}
+		behind.applyReply(ahead.replyTo(req), start)
 		if fmt.Sprint(targetsOf(ahead)) != fmt.Sprint(targetsOf(behind)) {
 			t.Fatalf("%v, not %v", targetsOf(behind), targetsOf(ahead))
 		}
@@ -138,9 +138,8 @@
 	return out
 }
 
-// targetsOf returns the live targets' addresses by key, or what is wrong with their
-// entries, and by ID the addresses of those that may get work, as printing sorts
-// them.
+// targetsOf returns the values or faults of the targets' entries by key, and the addresses of
+// the targets that may get work by ID. Printing it with fmt sorts the keys.
 func targetsOf(c *copyState) map[string]string {
 	out := make(map[string]string)
 	for key, e := range c.targets {
@@ -156,9 +155,9 @@
 
 func TestWatchersByRank(t *testing.T) {
 	is := is.New(t)
-	is.True(!isWatcher(0, false, settleTime-1)) // has not heard the others yet
-	is.True(isWatcher(watchers-1, false, settleTime))
-	is.True(!isWatcher(watchers, false, settleTime))
-	is.True(isWatcher(watchers, true, settleTime)) // one who watches goes on a little
-	is.True(!isWatcher(watchers+keepWatching, true, settleTime))
+	is.True(!shouldWatch(0, false, watchDelay-1)) // heartbeats of the others may not have arrived yet
+	is.True(shouldWatch(watcherCount-1, false, watchDelay))
+	is.True(!shouldWatch(watcherCount, false, watchDelay))
+	is.True(shouldWatch(watcherCount, true, watchDelay)) // hysteresis
+	is.True(!shouldWatch(watcherCount+watcherHysteresis, true, watchDelay))
 }
--- a/replica/targets.go
+++ b/replica/targets.go
@@ -8,95 +8,96 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// heldEntry is a target's entry with what it means here.
+// heldEntry is a target's entry with the ID of the target.
 type heldEntry struct {
 	Entry
-	// id is that of the target that the key's last usable entry named, empty if
+	// id is the ID of the target that the last usable entry under this key described, empty if
 	// there was none.
 	id string
 }
 
 func (c *copyState) isTarget(key string) bool { return strings.HasPrefix(key, c.schema.TargetPrefix()) }
 
-// decodeTarget decodes an entry. One that another node found unusable comes without
-// its value.
+// decodeTarget decodes an entry. An entry that another node found unusable comes without its
+// value.
 func (c *copyState) decodeTarget(e Entry) (roster.Target, error) {
 	if e.Fault != "" {
-		return roster.Target{}, &roster.EntryError{Fault: knownFault(e.Fault)}
+		return roster.Target{}, &roster.EntryError{Fault: normalizeFault(e.Fault)}
 	}
 	t, err := c.schema.DecodeTarget(e.Key, e.Value)
-	if err == nil && t.Started.IsZero() && c.keeper.IsOver(t) {
-		// A target that gives its start always does.
+	if err == nil && t.Started.IsZero() && c.keeper.IsSuperseded(t) {
+		// A target that reports its start time always does, so another writer wrote this entry.
 		err = &roster.EntryError{Fault: roster.MissingField, Field: "start"}
 	}
 	return t, err
 }
 
-// knownFault is for faults that a node of another release names.
-func knownFault(f roster.EntryFault) roster.EntryFault {
+// normalizeFault maps faults that this release doesn't define, as other releases may send them,
+// to roster.NotReadable.
+func normalizeFault(f roster.EntryFault) roster.EntryFault {
 	if slices.Contains(roster.EntryFaults, f) {
 		return f
 	}
 	return roster.NotReadable
 }
 
-// hold takes a written entry. It returns the target to be put into the keeper;
-// ok is false if there is none. An entry that names no target to use withdraws the
-// one that the key named before.
-func (c *copyState) hold(e Entry, before map[string]heldEntry) (t roster.Target, ok bool) {
+// storeEntry stores a written entry and returns the target to put into the keeper; ok is false
+// if there is none. An entry that doesn't describe a usable target withdraws the target that
+// the key described before.
+func (c *copyState) storeEntry(e Entry, before map[string]heldEntry) (t roster.Target, ok bool) {
 	last, known := before[e.Key]
 	t, err := c.decodeTarget(e)
 	switch {
 	case err != nil:
 		if !known || last.Revision != e.Revision {
-			c.unusable(e.Key, e.Revision, err)
+			c.onUnusable(e.Key, e.Revision, err)
 		}
 		c.targets[e.Key] = heldEntry{e.withFault(faultOf(err)), last.id}
 		return c.keeper.Withdrawn(last.id)
-	case !c.keeper.IsOver(t):
+	case !c.keeper.IsSuperseded(t):
 		c.targets[e.Key] = heldEntry{e, t.ID}
 	case known:
-		c.targets[e.Key] = last // other nodes are told of the later run
+		c.targets[e.Key] = last // send the entry of the later run to other nodes
 	}
 	return t, true
 }
 
-// withFault is an unusable entry as it is kept and passed on: without its value,
+// withFault returns an unusable entry as it is kept and sent to other nodes: without its value,
 // which may be large.
 func (e Entry) withFault(f roster.EntryFault) Entry {
 	e.Value, e.Packed, e.Fault = nil, false, f
 	return e
 }
 
-// putTargets replaces all targets by those of the entries.
-func (c *copyState) putTargets(entries []Entry, now time.Time) bool {
+// replaceTargets replaces all targets by those in entries.
+func (c *copyState) replaceTargets(entries []Entry, now time.Time) bool {
 	before := c.targets
 	c.targets = make(map[string]heldEntry, len(entries))
 	list := make([]roster.Target, 0, len(entries))
 	for _, e := range entries {
-		if t, ok := c.hold(e, before); ok {
+		if t, ok := c.storeEntry(e, before); ok {
 			list = append(list, t)
 		}
 	}
 	return c.keeper.Reset(list, now)
 }
 
-// changeTarget takes one change of a target's entry.
-func (c *copyState) changeTarget(e Entry, now time.Time) bool {
+// applyTargetChange applies one change of a target's entry.
+func (c *copyState) applyTargetChange(e Entry, now time.Time) bool {
 	if e.Removed {
 		changed := c.removeTarget(e.Key, now)
-		c.remember(e)
+		c.recordChange(e)
 		return changed
 	}
-	t, ok := c.hold(e, c.targets)
+	t, ok := c.storeEntry(e, c.targets)
 	if c.targets[e.Key].Revision == e.Revision {
-		c.remember(e)
+		c.recordChange(e)
 	}
 	return ok && c.keeper.Put(t, now)
 }
 
-// remember notes a change for other nodes.
-func (c *copyState) remember(e Entry) {
+// recordChange records a change in the history, for other nodes.
+func (c *copyState) recordChange(e Entry) {
 	if e.Removed {
 		c.history.remove(e.Key, e.Revision)
 	} else {
--- a/replica/turns_test.go
+++ b/replica/turns_test.go
@@ -11,25 +11,27 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Of a thousand nodes that begin at once, a few at a time read all that the store holds.
-func TestFewNodesReadAllAtOnce(t *testing.T) {
+// When a thousand nodes start at once, only a few at a time list the store beyond the first
+// page.
+func TestFewNodesListStoreAtOnce(t *testing.T) {
 	is := is.New(t)
 	turns := make(map[time.Time]int)
 	for rank := range 986 {
-		from := mayReadOn(rank, start, start)
-		is.True(!from.Before(start.Add(hearTime))) // its rank is not known before
-		is.True(!from.After(start.Add(maxReadDelay)))
+		from := turnStart(rank, start, start)
+		is.True(!from.Before(start.Add(discoveryTime))) // the rank isn't known earlier
+		is.True(!from.After(start.Add(maxTurnDelay)))
 		turns[from]++
 	}
-	turns[start.Add(maxReadDelay)] = 0 // those read whatever the others do
+	// Nodes at the maximum delay list the store regardless of the others.
+	turns[start.Add(maxTurnDelay)] = 0
 	for _, n := range turns {
-		is.True(n <= readersAtOnce)
+		is.True(n <= readersPerTurn)
 	}
 	later := start.Add(time.Minute)
-	is.Equal(mayReadOn(0, start, later), later) // a node that has run for long knows its rank
+	is.Equal(turnStart(0, start, later), later) // the rank has been known for long
 }
 
-// pagedSource has a second page.
+// pagedSource is a store whose list has two pages.
 type pagedSource struct {
 	fakeSource
 	before func()
@@ -47,11 +49,11 @@
 	return first, nil
 }
 
-// A node to which another passed its copy on meanwhile reads no further, and has the note
-// of the first page.
-func TestCopyEndsAListOfManyPages(t *testing.T) {
+// A node that receives another node's copy during its list reads no further pages. It still
+// delivers the note from the first page.
+func TestCopySupersedesPagedList(t *testing.T) {
 	is := is.New(t)
-	p, c := &silentPeers{}, &clock{now: start}
+	p, c := &stubPeers{}, &clock{now: start}
 	s := &pagedSource{fakeSource: fakeSource{revision: 7}}
 	r := newTestReplica(s, p, c)
 	notes := 0
@@ -59,28 +61,28 @@
 	s.before = func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.state.take(Copy{Entries: []Entry{target("a", "1", 5)}, Revision: 8}, start)
+		r.state.applyReply(CopyReply{Entries: []Entry{target("a", "1", 5)}, Revision: 8}, start)
 	}
-	is.NoErr(r.readList(context.Background()))
+	is.NoErr(r.listStore(context.Background()))
 	is.Equal(s.pages, 1)
 	is.Equal(notes, 1)
 	is.Equal(r.revision(), int64(8))
-	is.True(!r.takeStale())
+	is.True(!r.consumeStale())
 
-	// A copy that is older is of no use, nor is one that tells of no evacuations.
-	s.revision, s.before = 9, func() { c.advance(maxReadDelay) }
-	is.NoErr(r.readList(context.Background()))
+	// An older copy doesn't replace the list, nor does any copy while mustList is set.
+	s.revision, s.before = 9, func() { c.advance(maxTurnDelay) }
+	is.NoErr(r.listStore(context.Background()))
 	is.Equal(s.pages, 3)
-	r.mustRead = true
-	is.NoErr(r.readList(context.Background()))
+	r.mustList = true
+	is.NoErr(r.listStore(context.Background()))
 	is.Equal(s.pages, 5)
 }
 
-// A node whose turn doesn't come in time gives the list up.
-func TestTurnEndsWithItsContext(t *testing.T) {
+// A node whose context ends before its turn stops its list.
+func TestAwaitTurnReturnsOnCancel(t *testing.T) {
 	is, s := is.New(t), &fakeSource{revision: 7}
 	r, _, _ := fakeReplica(s)
-	r.readFrom = start
+	r.listStarted = start
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(r.awaitTurn(ctx, 8), context.Canceled))
--- a/replica/unusable.go
+++ b/replica/unusable.go
@@ -8,34 +8,34 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// Other writers than the targets leave entries that name no target to use. Each
-// change of such an entry is counted and logged, but hundreds of them must neither
-// hide the rest of the log nor take the node's time.
+// Writers other than the targets leave entries that don't describe a usable target. Each change
+// of such an entry is counted and logged, but hundreds of them must neither flood the log nor
+// take up the node's time.
 const (
-	// lineLimit is the most log lines of unusable entries within lineWindow.
-	lineLimit  = 20
-	lineWindow = 10 * time.Second
+	// logLimit is the maximum number of log lines about unusable entries within logWindow.
+	logLimit  = 20
+	logWindow = 10 * time.Second
 )
 
-// lineBudget bounds log lines. It is pure: the caller passes the time.
-type lineBudget struct {
-	since          time.Time
-	lines, leftOut int
+// logLimiter is a rate limiter for log lines. Callers pass the time.
+type logLimiter struct {
+	since            time.Time
+	used, suppressed int
 }
 
-// take says whether a line may be written at now, and how many were left out since
-// the last one.
-func (b *lineBudget) take(now time.Time) (leftOut int, ok bool) {
-	if now.Sub(b.since) >= lineWindow {
-		b.since, b.lines = now, 0
+// allow reports whether a line may be logged at now, and how many were suppressed since the
+// last one.
+func (l *logLimiter) allow(now time.Time) (suppressed int, ok bool) {
+	if now.Sub(l.since) >= logWindow {
+		l.since, l.used = now, 0
 	}
-	if b.lines >= lineLimit {
-		b.leftOut++
+	if l.used >= logLimit {
+		l.suppressed++
 		return 0, false
 	}
-	b.lines++
-	leftOut, b.leftOut = b.leftOut, 0
-	return leftOut, true
+	l.used++
+	suppressed, l.suppressed = l.suppressed, 0
+	return suppressed, true
 }
 
 // faultOf returns the fault of an entry that could not be decoded.
@@ -47,14 +47,14 @@
 	return roster.NotReadable
 }
 
-// unusable is told of each change of an entry that names no target to use. It is
-// called with the lock held.
-func (r *Replica) unusable(key string, revision int64, err error) {
+// reportUnusableEntry counts and logs one change of an entry that doesn't describe a usable
+// target. Callers must hold r.mu.
+func (r *Replica) reportUnusableEntry(key string, revision int64, err error) {
 	r.metrics.unusable.WithLabelValues(string(faultOf(err))).Inc()
-	leftOut, ok := r.lines.take(r.now())
+	suppressed, ok := r.logLimiter.allow(r.now())
 	if !ok {
 		return
 	}
 	r.log.Warn("entry names no target to use; it is left aside",
-		"key", key, "revision", revision, "err", err, "left_out", leftOut)
+		"key", key, "revision", revision, "err", err, "left_out", suppressed)
 }
--- a/replica/watchers.go
+++ b/replica/watchers.go
@@ -5,78 +5,77 @@
 	"time"
 )
 
-// Every watch is woken by every change, and each time costs a priced call. So
-// only a few nodes watch the store, and changes go from node to node. Which
-// nodes watch follows from the nodes' own ranking of the live ones; views that
-// differ for a while make a few more or fewer of them. Audits find out if none
-// hears anything.
+// Every change wakes every watch, and each time costs a billed call. Therefore only a few nodes
+// watch the store, and changes spread from node to node. Each node derives the watchers from
+// its own ranking of the live nodes; while the nodes' views differ, there are a few more or
+// fewer watchers. Audits detect changes that no watcher received.
 const (
-	// watchers is the number of nodes that watch: two may be cut off or deaf
-	// at once without delay.
-	watchers = 3
-	// keepWatching is added to watchers for a node that watches already, so
-	// that a node which comes and goes makes little difference.
-	keepWatching = 1
-	// settleTime is how long a node that has just begun waits to hear the
-	// others before it takes the watch on itself. Audits serve it meanwhile.
-	settleTime = 1200 * time.Millisecond
+	// watcherCount is the number of nodes that watch the store: two of them may be partitioned
+	// or have a stalled watch at once without a delay of changes.
+	watcherCount = 3
+	// watcherHysteresis is added to watcherCount for a node that already watches, so that a
+	// node which joins and leaves repeatedly causes few changes of role.
+	watcherHysteresis = 1
+	// watchDelay is how long a node waits after its start, to receive heartbeats of the others,
+	// before it may watch. Until then audits keep it up to date.
+	watchDelay = 1200 * time.Millisecond
 )
 
-// elect decides whether this node watches the store.
-func (r *Replica) elect() {
+// updateWatcherRole decides whether this node watches the store.
+func (r *Replica) updateWatcherRole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rank, heard := r.peers.Rank(r.storeLost)
+	rank, discovered := r.peers.Rank(r.storeLost)
 	r.rank = rank
-	watch := isWatcher(rank, r.watching, r.now().Sub(r.began))
+	watch := shouldWatch(rank, r.watching, r.now().Sub(r.startedAt))
 	if watch == r.watching {
 		return
 	}
 	r.watching = watch
-	r.log.Info("watch of the store", "watching", watch, "rank", rank, "heard", heard)
+	r.log.Info("watcher role changed", "watching", watch, "rank", rank, "heard", discovered)
 	r.restartWatch()
-	r.wakeFollow()
+	r.wakeFollower()
 }
 
-// wakeFollow ends the wait for an election.
-func (r *Replica) wakeFollow() {
+// wakeFollower wakes follow in awaitWork.
+func (r *Replica) wakeFollower() {
 	select {
-	case r.elected <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// isWatcher is the decision of elect.
-func isWatcher(rank int, watching bool, running time.Duration) bool {
-	if running < settleTime {
+// shouldWatch reports whether a node of the given rank should watch the store, by whether it
+// watches already and how long it has been running.
+func shouldWatch(rank int, watching bool, running time.Duration) bool {
+	if running < watchDelay {
 		return false
 	}
-	limit := watchers
+	limit := watcherCount
 	if watching {
-		limit += keepWatching
+		limit += watcherHysteresis
 	}
 	return rank < limit
 }
 
-// awaitElection returns when this node is to watch the store, or to read it
-// once more.
-func (r *Replica) awaitElection(ctx context.Context) {
-	for !r.isDue() {
+// awaitWork returns when this node must watch the store or list it again.
+func (r *Replica) awaitWork(ctx context.Context) {
+	for !r.hasWork() {
 		select {
-		case <-r.elected:
+		case <-r.wakeup:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *Replica) isDue() bool {
+func (r *Replica) hasWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.watching || r.stale
 }
 
-// StoreLost says whether this node could not reach the store lately.
+// StoreLost reports whether this node can't reach the store at present.
 func (r *Replica) StoreLost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/roster/cold.go
+++ b/roster/cold.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// IsCold says whether the target may be cold at now. warmUp is how long targets of its
-// service are after a start.
+// IsCold reports whether the target may be cold at now. warmUp is how long targets of its
+// service are cold after a start.
 func (t *Target) IsCold(warmUp time.Duration, now time.Time) bool {
-	return now.Before(t.ColdUntil) || !t.TakenBack.IsZero() && now.Sub(t.TakenBack) < warmUp
+	return now.Before(t.ColdUntil) || !t.EvacuationEnded.IsZero() && now.Sub(t.EvacuationEnded) < warmUp
 }
--- a/roster/diff.go
+++ b/roster/diff.go
@@ -5,47 +5,47 @@
 	"strings"
 )
 
-// Change is what happened to a target.
+// Change is the kind of change of a target.
 type Change string
 
-// The changes.
+// The kinds of changes.
 const (
 	Joined    Change = "joined"
-	Restarted Change = "restarted" // a later run under the same ID
+	Restarted Change = "restarted" // a later run under the same ID started
 	Drains    Change = "drains"
 	Evacuates Change = "evacuates"  // its failure domain is evacuated
-	TakenBack Change = "taken_back" // its failure domain is taken back
-	Cold      Change = "cold"       // it bears few requests for a while
+	TakenBack Change = "taken_back" // the evacuation of its failure domain ended
+	Cold      Change = "cold"       // it accepts few requests for a while
 	Warm      Change = "warm"
-	Lapses    Change = "lapses"    // its entry is gone; it is a last resort
+	Lapses    Change = "lapses"    // its entry is gone; it is a fallback
 	Withdrawn Change = "withdrawn" // its entry is unusable
 	Gone      Change = "gone"
 	Modified  Change = "modified"
 )
 
-// Difference is one target's change.
+// Difference is the change of one target.
 type Difference struct {
-	// Target is the target as it is now, or as it was last if it is Gone.
+	// Target is the current state of the target, or its last one if Change is Gone.
 	Target *Target
 	Change Change
 }
 
-// Changes returns what changed since it was called last, ordered by ID. It costs by the
-// number of changes, however many targets there are.
+// Changes returns what changed since its last call, ordered by ID. Its cost depends on the
+// number of changes and not on the number of targets.
 func (k *Keeper) Changes() []Difference {
-	out := make([]Difference, 0, len(k.before))
-	for id, old := range k.before {
-		now, there := k.targets[id]
+	out := make([]Difference, 0, len(k.baseline))
+	for id, old := range k.baseline {
+		now, exists := k.targets[id]
 		switch {
-		case !there && old != nil:
+		case !exists && old != nil:
 			out = append(out, Difference{old, Gone})
-		case there && old == nil:
+		case exists && old == nil:
 			out = append(out, Difference{now, Joined})
-		case there && *old != *now:
+		case exists && *old != *now:
 			out = append(out, Difference{now, changeBetween(old, now)})
 		}
 	}
-	clear(k.before)
+	clear(k.baseline)
 	slices.SortFunc(out, func(a, b Difference) int { return strings.Compare(a.Target.ID, b.Target.ID) })
 	return out
 }
--- a/roster/entry.go
+++ b/roster/entry.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// EntryFault says why an entry of the store names no target to use.
+// EntryFault is the reason why an entry of the store doesn't describe a usable target.
 type EntryFault string
 
 // The faults of entries.
 const (
-	BadKey       EntryFault = "key"     // the key holds no ID
+	BadKey       EntryFault = "key"     // the key contains no ID
 	TooLong      EntryFault = "length"  // far longer than any target's entry
-	NotReadable  EntryFault = "bytes"   // the value is none of the format
-	MissingField EntryFault = "missing" // a field is not there
-	WrongType    EntryFault = "type"    // a field has another type
-	OutOfRange   EntryFault = "range"   // a number that can't be meant
+	NotReadable  EntryFault = "bytes"   // the value doesn't have the expected format
+	MissingField EntryFault = "missing" // a required field is missing
+	WrongType    EntryFault = "type"    // a field has the wrong type
+	OutOfRange   EntryFault = "range"   // a number is outside its plausible range
 	UnknownState EntryFault = "state"
 	BadAddress   EntryFault = "address"
 )
 
-// EntryFaults are all faults.
+// EntryFaults lists all faults.
 var EntryFaults = []EntryFault{
 	BadKey, TooLong, NotReadable, MissingField, WrongType, OutOfRange, UnknownState, BadAddress,
 }
 
-// EntryError is the error of an entry that names no target to use. Other writers
-// than the targets leave such entries.
+// EntryError is the error of an entry that doesn't describe a usable target. Such entries come
+// from writers other than the targets.
 type EntryError struct {
 	Fault EntryFault
-	// Field is the name of the field at fault, empty if it is the whole entry.
+	// Field is the name of the invalid field, empty if the fault concerns the whole entry.
 	Field string
 }
 
--- a/roster/evacuation.go
+++ b/roster/evacuation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Evacuate replaces the evacuated failure domains. It returns true if that changes a
+// Evacuate replaces the set of evacuated failure domains. It returns true if that changes a
 // target.
 func (k *Keeper) Evacuate(domains map[string]bool, now time.Time) bool {
 	k.evacuated = domains
@@ -14,7 +14,7 @@
 		next := *t
 		next.Evacuated = !t.Evacuated
 		if t.Evacuated {
-			next.TakenBack = now
+			next.EvacuationEnded = now
 		}
 		k.set(id, &next)
 		changed = true
@@ -22,8 +22,8 @@
 	return changed
 }
 
-// CountIn returns the number of targets in a failure domain.
-func (k *Keeper) CountIn(domain string) int {
+// CountInDomain returns the number of targets in a failure domain.
+func (k *Keeper) CountInDomain(domain string) int {
 	n := 0
 	for _, t := range k.targets {
 		if t.FailureDomain == domain {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster keeps the targets that are known from the platform's entries.
-// Its Keeper is pure: it is told of changes and of the time, and decides which
+// Package roster keeps the targets described by the entries in the platform's store. Its Keeper
+// does no I/O and reads no clock: callers pass changes and the time, and it decides which
 // targets may get work.
 package roster
 
@@ -11,49 +11,50 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// Target is one run of an engine or of a plain service's server: its ID and the
-// time of its start. What nodes learn of a run ends with it: a later run under the
-// same ID is a new target, which keeps and counts nothing of before. Its address
-// may go to another target.
+// Target is one run of an engine, or of a server of a plain service (one without model
+// engines). Its ID and its start time identify it. What nodes learn about a run ends with it: a
+// later run under the same ID is a new target, which inherits no state or counters. The address
+// of a run that ended may be reused by another target.
 type Target struct {
 	ID string
-	// Started is when the run began, zero if its entry doesn't say so. Runs under
-	// one ID are told apart only by it.
+	// Started is when the run began, zero if its entry doesn't have that. It alone
+	// distinguishes runs under one ID.
 	Started       time.Time
 	Addr          string
 	FailureDomain string
 	Service       string
 	Slots         int
 	Draining      bool
-	// Fallback targets have lost their entry a moment ago. They are used only
-	// if a service has no other target left.
+	// Fallback means that the target's entry vanished a moment ago. It is used only if its
+	// service has no other target left.
 	Fallback bool
-	// Withdrawn targets have an entry that is unusable now. Requests in progress
-	// there end as they may; nothing else goes there.
+	// Withdrawn means that the target's entry is unusable now. Requests in progress there may
+	// finish; it gets no new ones.
 	Withdrawn bool
-	// Evacuated targets are in a failure domain that the operator has evacuated. Nothing
-	// new goes there, whatever else is left; requests in progress end as they may.
+	// Evacuated means that the operator has evacuated the target's failure domain. It gets no
+	// new requests, even if no other target is left; requests in progress may finish.
 	Evacuated bool
-	// ColdFor is how much longer the target is cold, as its entry says. The Keeper turns
-	// it into ColdUntil, which is zero for a target that isn't. An entry may be read long
-	// after it was written, so that a target is rather taken for cold too long.
+	// ColdFor is how much longer the target is cold, according to its entry. The Keeper
+	// converts it to ColdUntil, which is zero for a target that isn't cold. An entry may be
+	// read long after it was written, so a target may count as cold for too long rather than
+	// too briefly.
 	ColdFor   time.Duration
 	ColdUntil time.Time
-	// TakenBack is when its failure domain was last taken back from an evacuation, zero
-	// for never. It may be cold then, and say so only later.
-	TakenBack time.Time
-	// Hash is the key of the target's ID in placement. A later run has the same,
-	// so that nodes which don't know of it yet rank the targets alike.
+	// EvacuationEnded is when the last evacuation of its failure domain ended, zero for never.
+	// The target may be cold then, although its entry doesn't have that yet.
+	EvacuationEnded time.Time
+	// Hash is the hash of the target's ID, used for placement. A later run has the same hash,
+	// so that nodes which don't have its entry yet rank the targets alike.
 	Hash uint64
-	// Joined is when this node learnt of the target, zero if it was there
-	// when the node began.
+	// Joined is when this node first saw the target, zero if the target was there when the node
+	// started.
 	Joined time.Time
 }
 
-// RunHash names the run among the nodes: in their reports, in the uses of prompt
-// parts and in the note of them. A node that is behind and tells of an earlier run
-// names a hash that nobody asks for any more. A target whose start is not known
-// has the hash of its ID.
+// RunHash identifies the run among the nodes: in their reports, in the records of which prompt
+// parts are cached where, and in the note about these. If an outdated node reports about an
+// earlier run, its hash matches no current target. A target whose start time is not known has
+// the hash of its ID.
 func (t *Target) RunHash() uint64 {
 	if t.Started.IsZero() {
 		return t.Hash
@@ -61,47 +62,46 @@
 	return routing.Rank(uint64(t.Started.UnixMilli()), t.Hash)
 }
 
-// FallbackGrace is how long a target whose entry vanished stays as a last
-// resort: an outage of the store that this node did not notice may have let all
-// entries lapse. It is half of the shortest time that leaving targets go on
-// serving in the deployments known.
+// FallbackGrace is how long a target whose entry vanished stays as a fallback: during an outage
+// of the store that this node did not notice, all entries may have expired. It is half of the
+// shortest time for which targets that leave continue to serve in known deployments.
 const FallbackGrace = time.Second
 
-// LapseGrace is how long an entry that vanished around an outage of the store
-// is taken for lapsed and not for gone: the platform lets live targets write
-// their entries again within about two seconds of the store's return.
-const LapseGrace = 2 * time.Second
+// OutageGrace is how long an entry that vanished around an outage of the store is treated as
+// expired and not as removed: the platform lets live targets write their entries again within
+// about two seconds after the store is back.
+const OutageGrace = 2 * time.Second
 
-// Keeper holds the newest entries. One goroutine at a time may use it.
+// Keeper holds the current targets. It is not safe for concurrent use.
 type Keeper struct {
 	targets map[string]*Target
-	// missing are the targets whose entries vanished while the store was
-	// disturbed, with the time at which they are taken for gone.
+	// missing holds, for each target whose entry vanished, the time at which the target is
+	// removed.
 	missing map[string]time.Time
 	// evacuated are the failure domains that the operator has evacuated.
 	evacuated map[string]bool
-	// disturbedUntil is the end of the time in which vanished entries may
-	// have lapsed.
-	disturbedUntil time.Time
-	// before are the targets that changed since Changes was called last, as they were
-	// then; nil for those that were not there.
-	before map[string]*Target
+	// outageUntil is the end of the period in which a vanished entry may have expired because
+	// of an outage.
+	outageUntil time.Time
+	// baseline holds the targets that changed since the last call of Changes as they were then;
+	// nil for those that did not exist.
+	baseline map[string]*Target
 	// withdrawn is the number of withdrawn targets.
 	withdrawn int
 }
 
-// NewKeeper returns a Keeper that knows no target.
+// NewKeeper returns an empty Keeper.
 func NewKeeper() *Keeper {
 	return &Keeper{
-		targets: make(map[string]*Target), missing: make(map[string]time.Time), before: make(map[string]*Target),
+		targets: make(map[string]*Target), missing: make(map[string]time.Time), baseline: make(map[string]*Target),
 	}
 }
 
-// set replaces the target with the given ID; nil is for one that is gone.
+// set replaces the target with the given ID; a nil target removes it.
 func (k *Keeper) set(id string, t *Target) {
 	old := k.targets[id]
-	if _, noted := k.before[id]; !noted {
-		k.before[id] = old
+	if _, recorded := k.baseline[id]; !recorded {
+		k.baseline[id] = old
 	}
 	if old != nil && old.Withdrawn {
 		k.withdrawn--
@@ -116,11 +116,11 @@
 	k.targets[id] = t
 }
 
-// Count returns the number of targets, without the withdrawn ones.
+// Count returns the number of targets without the withdrawn ones.
 func (k *Keeper) Count() int { return len(k.targets) - k.withdrawn }
 
-// Pool returns the targets of a service, ordered by ID, the draining ones included, the
-// withdrawn ones not. It goes through all targets.
+// Pool returns the targets of a service ordered by ID, including draining and without withdrawn
+// ones. It scans all targets.
 func (k *Keeper) Pool(service string) []*Target {
 	var out []*Target
 	for _, t := range k.targets {
@@ -132,26 +132,26 @@
 	return out
 }
 
-// Disturbed says that the store was unreachable at now, so that entries may
-// lapse without their targets having left.
-func (k *Keeper) Disturbed(now time.Time) {
-	k.disturbedUntil = now.Add(LapseGrace)
+// MarkOutage records that the store was unreachable at now, so that entries may expire although
+// their targets still run.
+func (k *Keeper) MarkOutage(now time.Time) {
+	k.outageUntil = now.Add(OutageGrace)
 	for id := range k.missing {
 		if !k.targets[id].Fallback {
-			k.missing[id] = k.disturbedUntil
+			k.missing[id] = k.outageUntil
 		}
 	}
 }
 
-// IsOver says whether a later run under the target's ID is known, so that the
-// target's entry is an old one: written late, or read from a copy that is behind.
-func (k *Keeper) IsOver(t Target) bool {
+// IsSuperseded reports whether a later run under the target's ID is known. The target's entry
+// is outdated then: it was written late, or read from a copy that is behind.
+func (k *Keeper) IsSuperseded(t Target) bool {
 	known, ok := k.targets[t.ID]
 	return ok && t.Started.Before(known.Started)
 }
 
-// Withdrawn returns the target with the given ID as it is when its entry becomes
-// unusable; ok is false if there is none.
+// Withdrawn returns the target with the given ID marked as withdrawn, for an entry that has
+// become unusable; ok is false if there is no such target.
 func (k *Keeper) Withdrawn(id string) (t Target, ok bool) {
 	known, ok := k.targets[id]
 	if !ok {
@@ -162,10 +162,10 @@
 	return t, true
 }
 
-// Put adds or changes a target. It returns true if that changes the view. A run
-// that is over changes nothing.
+// Put adds or changes a target and returns true if that changes the targets. A superseded run
+// changes nothing.
 func (k *Keeper) Put(t Target, now time.Time) bool {
-	if k.IsOver(t) {
+	if k.IsSuperseded(t) {
 		return false
 	}
 	_, wasMissing := k.missing[t.ID]
@@ -177,7 +177,7 @@
 	}
 	old, known := k.targets[t.ID]
 	if known && old.Started.Equal(t.Started) {
-		t.Joined, t.TakenBack = old.Joined, old.TakenBack
+		t.Joined, t.EvacuationEnded = old.Joined, old.EvacuationEnded
 	} else if len(k.targets) > 0 {
 		t.Joined = now
 	}
@@ -188,9 +188,10 @@
 	return true
 }
 
-// Remove takes a target's entry away. Right after an outage of the store the
-// target stays as it was until LapseGrace has passed; otherwise it is a
-// fallback for FallbackGrace. A withdrawn target is gone at once.
+// Remove removes a target's entry and returns true if that changes the targets. Right after an
+// outage of the store the target stays unchanged until OutageGrace has passed, unless it is
+// draining; otherwise it is a fallback for FallbackGrace. A withdrawn target is removed at
+// once.
 func (k *Keeper) Remove(id string, now time.Time) bool {
 	t, known := k.targets[id]
 	if _, already := k.missing[id]; !known || already {
@@ -200,8 +201,8 @@
 		k.set(id, nil)
 		return true
 	}
-	if now.Before(k.disturbedUntil) && !t.Draining {
-		k.missing[id] = k.disturbedUntil
+	if now.Before(k.outageUntil) && !t.Draining {
+		k.missing[id] = k.outageUntil
 		return false
 	}
 	k.missing[id] = now.Add(FallbackGrace)
@@ -211,17 +212,17 @@
 	return true
 }
 
-// Reset replaces all entries by a full list of them.
+// Reset replaces all entries by a complete list and returns true if that changes the targets.
 func (k *Keeper) Reset(list []Target, now time.Time) bool {
 	changed := false
 	present := make(map[string]bool, len(list))
-	first := len(k.targets) == 0
+	initial := len(k.targets) == 0
 	for _, t := range list {
 		present[t.ID] = true
 		changed = k.Put(t, now) || changed
 	}
-	if first {
-		for _, t := range k.targets { // nobody else has them yet
+	if initial {
+		for _, t := range k.targets { // the targets were there when the node started
 			t.Joined = time.Time{}
 		}
 	}
@@ -233,7 +234,7 @@
 	return changed
 }
 
-// Expire removes the targets whose grace has ended.
+// Expire removes the targets whose grace period has ended and returns true if there were any.
 func (k *Keeper) Expire(now time.Time) bool {
 	changed := false
 	for id, end := range k.missing {
@@ -246,8 +247,8 @@
 	return changed
 }
 
-// NextExpiry returns when Expire has something to do; ok is false if nothing
-// is missing.
+// NextExpiry returns the time of the next removal by Expire; ok is false if no entry is
+// missing.
 func (k *Keeper) NextExpiry() (at time.Time, ok bool) {
 	for _, end := range k.missing {
 		if !ok || end.Before(at) {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -20,30 +20,29 @@
 
 func engine(id string) Target { return Target{ID: id, Service: "s", Addr: "10.0.0.1:80"} }
 
-// A removed target is a last resort for a moment and then gone, whatever
-// outages follow.
+// A removed target is a fallback for a moment and then gone, even if an outage follows.
 func TestRemovedEntryIsFallbackAndThenGone(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a"), engine("b")}, start)
 	is.True(k.Remove("a", start))
 	is.True(k.Pool("s")[0].Fallback)
 	is.True(!k.Pool("s")[1].Fallback)
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	is.True(k.Expire(start.Add(FallbackGrace)))
 	is.Equal(ids(k), []string{"b"})
 }
 
-// Entries that lapse while the store is away are not taken for leaving; those
-// still missing after the grace are gone.
-func TestLapsedEntryIsKeptForItsGrace(t *testing.T) {
+// Entries that expire during an outage of the store don't count as removed; targets whose
+// entries are still missing after the grace period are gone.
+func TestLapsedEntryIsKeptDuringGrace(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a"), engine("b")}, start)
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	k.Reset([]Target{engine("b")}, start.Add(time.Second))
 	is.Equal(ids(k), []string{"a", "b"})
 	end, ok := k.NextExpiry()
 	is.True(ok)
-	is.Equal(end, start.Add(LapseGrace))
+	is.Equal(end, start.Add(OutageGrace))
 	is.True(!k.Expire(end.Add(-1)))
 	is.True(k.Expire(end))
 	is.Equal(ids(k), []string{"b"})
@@ -52,30 +51,30 @@
 func TestReturningEntryEndsTheGrace(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a")}, start)
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	k.Remove("a", start)
 	is.True(k.Put(engine("a"), start.Add(time.Second)))
 	is.True(!k.Expire(start.Add(time.Hour)))
 	is.Equal(ids(k), []string{"a"})
 }
 
-func TestLongOutageProlongsTheGrace(t *testing.T) {
+func TestLongOutageExtendsGrace(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a")}, start)
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	k.Remove("a", start)
-	k.Disturbed(start.Add(5 * time.Second))
+	k.MarkOutage(start.Add(5 * time.Second))
 	is.True(!k.Expire(start.Add(6 * time.Second)))
 	is.True(k.Expire(start.Add(7 * time.Second)))
 }
 
-// A target that said it drains was leaving before the outage.
+// A draining target was leaving before the outage.
 func TestDrainingTargetHasNoGrace(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	leaving := engine("a")
 	leaving.Draining = true
 	k.Reset([]Target{leaving}, start)
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	is.True(k.Remove("a", start))
 	is.True(k.Expire(start.Add(FallbackGrace)))
 	is.Equal(ids(k), []string{})
@@ -101,7 +100,7 @@
 	is.True(k.Pool("s")[0].Draining)
 }
 
-func TestChangesNameEachChange(t *testing.T) {
+func TestChangesReportEachKind(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a"), engine("b"), engine("c"), engine("d")}, start)
 	k.Changes()
@@ -132,9 +131,9 @@
 	return t
 }
 
-// A later run under the same ID takes over nothing of the earlier one, the word
-// that it drains and the grace of its entry included.
-func TestLaterRunTakesOverNothing(t *testing.T) {
+// A later run under the same ID inherits nothing from the earlier one, neither its draining
+// state nor the grace period of its entry.
+func TestLaterRunInheritsNothing(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	leaving := run("a", 10)
 	leaving.Draining = true
@@ -152,8 +151,8 @@
 	is.Equal(changed[0].Change, Restarted)
 }
 
-// What tells of an earlier run than the one known is old: it changes nothing,
-// neither a late write, nor a list, nor an entry without a start.
+// Data about a run earlier than the known one is outdated and changes nothing: neither a late
+// write, nor a list, nor an entry without a start time.
 func TestEarlierRunChangesNothing(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{run("a", 10)}, start)
@@ -164,30 +163,29 @@
 	is.True(!k.Put(engine("a"), start))
 	is.Equal(*k.Pool("s")[0], run("a", 10))
 	k.Remove("a", start)
-	is.True(!k.Put(earlier, start)) // nor does it end the grace of the later one
+	is.True(!k.Put(earlier, start)) // nor does it end the later run's grace period
 	is.True(k.Expire(start.Add(FallbackGrace)))
 	is.Equal(ids(k), []string{})
 }
 
-// A start that becomes known is a new run: nothing is known of the one before.
-func TestStartThatBecomesKnown(t *testing.T) {
+// A target whose start time becomes known is a new run, which inherits nothing.
+func TestKnownStartIsANewRun(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a")}, start)
 	is.True(k.Put(run("a", 10), start))
 	is.Equal(k.Pool("s")[0].Started, time.Unix(10, 0))
 }
 
-func TestRunsAreNamedApart(t *testing.T) {
+func TestRunHashDiffersPerRun(t *testing.T) {
 	is := is.New(t)
 	plain, first, second := engine("a"), run("a", 10), run("a", 11)
 	plain.Hash, first.Hash, second.Hash = 7, 7, 7
-	is.Equal(plain.RunHash(), uint64(7)) // as nodes without starts name it
+	is.Equal(plain.RunHash(), uint64(7)) // as nodes that don't have the start time compute it
 	is.True(uint32(first.RunHash()) != uint32(second.RunHash()))
 	is.True(uint32(first.RunHash()) != 7)
 }
 
-// A target whose entry is unusable is in no pool, gets no grace and comes back as it
-// was.
+// A target whose entry is unusable is in no pool, has no grace period and comes back unchanged.
 func TestWithdrawnTarget(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
@@ -201,15 +199,15 @@
 	is.True(k.Put(run("a", 10), start))
 	is.Equal(ids(k), []string{"a", "b"})
 	is.True(k.Put(withdrawn, start))
-	k.Disturbed(start)
+	k.MarkOutage(start)
 	is.True(k.Remove("a", start))
 	is.Equal(ids(k), []string{"b"})
 	_, ok = k.Withdrawn("a")
 	is.True(!ok)
 }
 
-// What takes back another change before anyone was told is none; of a run that ends and
-// one that begins under the same ID, the later one is told.
+// Changes that cancel each other out between two calls of Changes are not returned; if one run
+// ends and another begins under the same ID, the later one is returned.
 func TestChangesThatCancelOut(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
@@ -230,8 +228,8 @@
 	is.Equal(changed[0].Change, Restarted)
 }
 
-// One target's change costs the same however many targets there are.
-func TestCostOfAChange(t *testing.T) {
+// The cost of a change doesn't depend on the number of targets.
+func TestChangeCostIsIndependentOfTargetCount(t *testing.T) {
 	cost := func(targets int) float64 {
 		k := NewKeeper()
 		list := make([]Target, targets)
