--- a/placement/cold.go
+++ b/placement/cold.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// open returns the candidates without the cold ones that the node may not send to now.
-func open(eligible []*Candidate) []*Candidate {
+// sendable returns the candidates without the cold ones that this node may not send to now.
+func sendable(eligible []*Candidate) []*Candidate {
 	closed := func(c *Candidate) bool { return c.Cold && !c.MaySend }
 	if !slices.ContainsFunc(eligible, closed) {
 		return eligible
@@ -14,10 +14,10 @@
 	return slices.DeleteFunc(slices.Clone(eligible), closed)
 }
 
-// leastCold returns one of the cold targets at random, in proportion to what they still
-// bear: it is for a service that has no other left, where a choice by key would have
-// the nodes meet at the same target. ok is false if none bears another request.
-func leastCold(cold []*Candidate, rng *rand.Rand) (c *Candidate, ok bool) {
+// pickCold returns one of the cold targets at random, in proportion to the requests they can
+// still take. It applies when all targets of a service are cold, where a selection by key
+// would make all nodes choose the same target. ok is false if none can take another request.
+func pickCold(cold []*Candidate, rng *rand.Rand) (c *Candidate, ok bool) {
 	total := 0
 	for _, c := range cold {
 		total += c.ColdRoom
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -18,35 +18,36 @@
 	cands[2].Excluded = true
 	_, ok := NewService(cands, DefaultPolicy()).Pick(Request{Key: 7}, rng())
 	is.True(!ok)
-	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // for the gate's places
+	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // no target for admission control
 }
 
-// Guards against: a target that had said in an answer that it leaves served as a last resort.
-func TestTargetsThatSayTheyLeaveAreNoLastResort(t *testing.T) {
+// Guards against using a target as a last resort after it has announced its shutdown in a
+// response.
+func TestLeavingTargetsAreNoLastResort(t *testing.T) {
 	is := is.New(t)
 	cands := pool(2)
 	cands[0].Leaving = true
 	cands[1].Unreachable, cands[1].Suspended = true, true
 	is.Equal(pick(t, cands, Request{Key: 7}).Target.ID, "engine-1")
 	cands[1].Excluded = true
-	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // for the gate's places
+	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // no target for admission control
 }
 
-// Guards against: suspensions are ignored where most of a service is suspended, and a rest
-// that was asked for was with them.
-func TestTargetsThatRestAreNoLastResort(t *testing.T) {
+// Guards against ignoring a Retry-After together with suspensions, which are ignored when most
+// of a service is suspended.
+func TestTargetsWithRetryAfterAreNoLastResort(t *testing.T) {
 	is := is.New(t)
 	cands := pool(3)
 	cands[0].Resting, cands[1].Resting = true, true
 	cands[0].Kept, cands[0].Settled = 100, true
 	c := pick(t, cands, Request{Key: 7, Shared: 100})
 	is.Equal(c.Target.ID, "engine-2")
-	is.Equal(c.FetchFrom, nil) // a fetch is work too
+	is.Equal(c.FetchFrom, nil) // serving a transfer is load as well
 	cands[2].Resting = true
-	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // for the gate's places
+	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // no target for admission control
 }
 
-// Targets outside the regions get nothing, and nothing is fetched from them.
+// Targets outside the allowed regions get no request and no transfer.
 func TestTargetsOutsideTheRegions(t *testing.T) {
 	is := is.New(t)
 	cands := pool(2)
@@ -59,7 +60,7 @@
 	is.True(!ok)
 }
 
-// The bound doesn't grow when targets get nothing for a while.
+// The bound doesn't grow when targets get no requests for a while.
 func TestBoundCountsTargetsThatGetNothing(t *testing.T) {
 	is := is.New(t)
 	cands := pool(4)
@@ -87,8 +88,8 @@
 	is.Equal(pick(t, cands, Request{}).Target.ID, "engine-1")
 }
 
-// If all targets are cold, requests are spread by what these bear, and refused when
-// none bears more.
+// If all targets are cold, requests are spread by the capacity left at each, and refused when
+// none has any.
 func TestAllTargetsCold(t *testing.T) {
 	is := is.New(t)
 	cands := pool(3)
--- a/placement/leave.go
+++ b/placement/leave.go
@@ -7,35 +7,36 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// leave returns the candidate for a key none of whose keepers can take it, or
-// that nobody keeps yet. It may change the order of rest.
-func (s Service) leave(rest []*Candidate, req Request) *Candidate {
-	if slices.ContainsFunc(rest, isRanked) {
-		rest = slices.DeleteFunc(rest, isUnranked)
+// spill returns the candidate for a key that no target caches yet, or whose holders (the
+// targets that cache all its parts) can't take it. It may reorder available.
+func (s Service) spill(available []*Candidate, req Request) *Candidate {
+	if slices.ContainsFunc(available, isRanked) {
+		available = slices.DeleteFunc(available, isUnranked)
 	}
-	if beside := s.besideKeepers(rest, req); len(beside) > 0 {
-		return best(s.withRoom(beside), req, nearest)
+	if inDomains := s.inHolderDomains(available, req); len(inDomains) > 0 {
+		return bestRanked(s.belowCopyLimit(inDomains), req, preferLocal)
 	}
-	if s.hasKeeper(req) {
-		rest = s.withRoom(rest)
+	if s.isCachedAnywhere(req) {
+		available = s.belowCopyLimit(available)
 	}
-	return best(rest, req, anywhere)
+	return bestRanked(available, req, rankOnly)
 }
 
 func isRanked(c *Candidate) bool   { return !c.Unranked }
 func isUnranked(c *Candidate) bool { return c.Unranked }
 
-// copyPart times the mean load is the most that a target has when it gets a copy.
-// Under the load bound alone, copies went to targets that were nearly at it and
-// soon left those again: in the surge of TestRulesOfKeysThatLeave a fifth more memory
-// was moved, and half as many requests again got over the bound.
-const copyPart = 0.8
+// copyLoadFactor times the mean load is the highest load at which a target gets a copy of
+// a key's parts. With the load bound alone, copies went to targets that were nearly at the
+// bound, and their keys soon had to move again: in the surge of TestSpillRules a fifth more
+// cached data was transferred, and half as many requests again exceeded the bound.
+const copyLoadFactor = 0.8
 
-// withRoom returns the candidates that have room for a copy and the requests that
-// follow it, all if none has. Keys that nobody keeps yet go by rank instead: nodes
-// that judge by loads choose different targets for them, which all read the parts.
-func (s Service) withRoom(cands []*Candidate) []*Candidate {
-	most := copyPart * meanLoad(s.eligible)
+// belowCopyLimit returns the candidates that can take a copy and the requests that follow
+// it, or all if there is none. It is not used for keys that no target caches yet: these go
+// by rank alone, because nodes that go by load select different targets for the same key,
+// and each of those has to prefill the parts.
+func (s Service) belowCopyLimit(cands []*Candidate) []*Candidate {
+	most := copyLoadFactor * meanLoad(s.eligible)
 	hasRoom := func(c *Candidate) bool { return float64(c.Running) <= most }
 	if !slices.ContainsFunc(cands, hasRoom) {
 		return cands
@@ -43,44 +44,44 @@
 	return slices.DeleteFunc(cands, func(c *Candidate) bool { return !hasRoom(c) })
 }
 
-// besideKeepers returns the candidates in the failure domains of the targets that
-// keep all of the request's parts, none if there are none or the domains are busy.
-// A transfer between domains takes twice as long and counts as twice the memory
-// moved. The price is that a copy serves fewer nodes from their own domain: answers
-// took a twentieth more bytes between domains, and transfers a third less memory.
-func (s Service) besideKeepers(rest []*Candidate, req Request) []*Candidate {
-	if !s.hasKeeper(req) {
+// inHolderDomains returns the candidates in the failure domains of the targets that cache
+// all of the request's parts, or none if there are no such targets or their domains are
+// busy. A transfer between domains takes twice as long and counts as twice the data
+// transferred. The drawback is that a copy serves fewer nodes from their own domain: responses
+// took a twentieth more bytes between domains, for a third less data in transfers.
+func (s Service) inHolderDomains(available []*Candidate, req Request) []*Candidate {
+	if !s.isCachedAnywhere(req) {
 		return nil
 	}
-	homes := make(map[string]bool)
+	domains := make(map[string]bool)
 	for i := range s.all {
-		if c := &s.all[i]; req.keptBy(c) {
-			homes[c.FailureDomain] = true
+		if c := &s.all[i]; req.cachedBy(c) {
+			domains[c.FailureDomain] = true
 		}
 	}
-	s.dropBusy(homes, req)
+	s.deleteBusyDomains(domains, req)
 	var out []*Candidate
-	for _, c := range rest {
-		if homes[c.FailureDomain] {
+	for _, c := range available {
+		if domains[c.FailureDomain] {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// busyDeviations is how many standard deviations of a Poisson count make a failure
-// domain busier than the service; with 1 and 3 the bound holds as well.
+// busyDeviations is how many standard deviations of a Poisson distribution a failure domain's
+// load must be above the service's to count as busy. With 1 and 3 the bound holds as well.
 const busyDeviations = 2
 
-// dropBusy leaves out failure domains that are busier than the service by more
-// than chance. Copies of hot keys would all stay in such a domain while others
-// idle: its targets hover about the limit, from where counts that are a second old
-// let five times as many requests get over the bound (TestRulesOfKeysThatLeave).
-// Targets that keep the parts don't count: they are full, or the key would go there.
-func (s Service) dropBusy(domains map[string]bool, req Request) {
+// deleteBusyDomains removes failure domains whose load is above the service's by more than
+// random variation. Otherwise all copies of hot keys would stay in such a domain while others
+// are idle: the load of its targets stays close to the limit, and counts that are a second old
+// then let five times as many requests exceed the bound (TestSpillRules). Targets that cache
+// the parts are not counted: they are full, since otherwise they would get the request.
+func (s Service) deleteBusyDomains(domains map[string]bool, req Request) {
 	running, targets := make(map[string]int), make(map[string]int)
 	for _, c := range s.eligible {
-		if !req.keptBy(c) {
+		if !req.cachedBy(c) {
 			running[c.FailureDomain] += c.Counted
 			targets[c.FailureDomain]++
 		}
@@ -94,19 +95,19 @@
 	}
 }
 
-// preference says whether the node's own failure domain goes before the rank.
+// preference sets whether this node's failure domain takes precedence over the rank.
 type preference bool
 
 const (
-	nearest  preference = true
-	anywhere preference = false
+	preferLocal preference = true
+	rankOnly    preference = false
 )
 
-// best returns the best-ranked candidate for the request's key.
-func best(cands []*Candidate, req Request, p preference) *Candidate {
+// bestRanked returns the highest-ranked candidate for the request's key.
+func bestRanked(cands []*Candidate, req Request, p preference) *Candidate {
 	at, atRank, atNear := -1, uint64(0), false
 	for i, c := range cands {
-		near := p == nearest && c.FailureDomain == req.FailureDomain
+		near := p == preferLocal && c.FailureDomain == req.FailureDomain
 		rank := routing.Rank(req.Key, c.Hash)
 		if at < 0 || near && !atNear || near == atNear && rank > atRank {
 			at, atRank, atNear = i, rank, near
--- a/placement/leave_test.go
+++ b/placement/leave_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// spreadPool is a pool in two failure domains, a and b, each target with as many
-// requests in progress.
-func spreadPool(n, running int) []Candidate {
+// twoDomainPool returns a pool in two failure domains, a and b, with the same number of
+// requests in progress at each target.
+func twoDomainPool(n, running int) []Candidate {
 	cands := pool(n)
 	for i := range cands {
 		cands[i].FailureDomain = []string{"a", "b"}[i%2]
@@ -17,12 +17,12 @@
 	return cands
 }
 
-// Copies stay beside their keepers until that domain is busier than the service by
-// more than chance. A full keeper alone doesn't make it busy.
-func TestCopyLeavesABusyDomain(t *testing.T) {
+// Copies stay in the failure domain of their holders until that domain is busier than the
+// service by more than random variation. A full holder alone doesn't make it busy.
+func TestCopyAvoidsABusyDomain(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		others int // running at the other targets of the keeper's domain
+		others int // running at the other targets of the holder's domain
 		want   string
 	}{
 		{"like the others", 4, "b"},
@@ -30,14 +30,14 @@
 		{"busy", 16, "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			is, cands := is.New(t), spreadPool(12, 4)
+			is, cands := is.New(t), twoDomainPool(12, 4)
 			for i := range cands {
 				cands[i].Slots = 40
 				if cands[i].FailureDomain == "b" {
 					cands[i].Running = c.others
 				}
 			}
-			keep(&cands[1], 1000)
+			setCached(&cands[1], 1000)
 			cands[1].Running = 30
 			copied := pick(t, cands, Request{Key: 7, Shared: 1000, FailureDomain: "b"})
 			is.Equal(copied.Target.FailureDomain, c.want)
@@ -47,34 +47,34 @@
 	}
 }
 
-// A copy goes to a target below the mean, not to one that is nearly at the limit
-// itself. A key that nobody keeps goes by its rank alone, on which all nodes agree.
+// A copy goes to a target below the mean load, not to one close to the limit. A key that no
+// target caches goes by rank alone, which is the same on all nodes.
 func TestCopyGoesWhereThereIsRoom(t *testing.T) {
 	const key = 7
-	is, cands := is.New(t), spreadPool(12, 6)
+	is, cands := is.New(t), twoDomainPool(12, 6)
 	for i := range cands {
 		cands[i].Slots = 40
 	}
 	home := pick(t, cands, Request{Key: key}).Target
 	ranked := byID(cands, home.ID)
-	keeper := &cands[0]
-	for i := range cands { // any other one in the home's domain
+	holder := &cands[0]
+	for i := range cands { // any other target in the home's domain
 		if cands[i].FailureDomain == home.FailureDomain && cands[i].Target != home {
-			keeper = &cands[i]
+			holder = &cands[i]
 		}
 	}
 	ranked.Running = 7
 	is.Equal(pick(t, cands, Request{Key: key, Shared: 1000}).Target, home)
-	keep(keeper, 1000)
-	keeper.Running = 15
+	setCached(holder, 1000)
+	holder.Running = 15
 	room := &cands[0]
 	for i := range cands {
-		if c := &cands[i]; c.FailureDomain == home.FailureDomain && c != keeper && c != ranked {
+		if c := &cands[i]; c.FailureDomain == home.FailureDomain && c != holder && c != ranked {
 			room = c
 		}
 	}
 	room.Running = 1
 	is.Equal(pick(t, cands, Request{Key: key, Shared: 1000}).Target, room.Target)
 	room.Running = 6
-	is.Equal(pick(t, cands, Request{Key: key, Shared: 1000}).Target, home) // none has room
+	is.Equal(pick(t, cands, Request{Key: key, Shared: 1000}).Target, home) // none is below the copy limit
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,13 @@
-// Package placement picks the target of a request: filter, score, pick, all
-// pure over the candidates that the caller passes in.
+// Package placement selects the target of a request in three pure steps over the
+// candidates passed by the caller: filter, score, pick.
 //
-// It answers returning chats with shared prompt parts, keys that get much of
-// the traffic (bounded load: the key spreads to its next targets), targets that
-// fail or leave (filters that give way when nothing else is left), and small
-// services (least loaded first).
+// It covers follow-up requests of a chat whose shared prompt parts are cached at a
+// target, hot keys (bounded load: the key spreads to further targets in its rank order),
+// targets that fail or shut down (filters that are skipped when they would leave no
+// candidate), and small services (least loaded first).
+//
+// A shared prompt part is a section at the start of a prompt that other requests have
+// too. A target that caches a part needs no prefill for it.
 package placement
 
 import (
@@ -15,193 +18,196 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// Candidate is a target with what the node believes of it.
+// Candidate is a target and this node's view of its state and load.
 type Candidate struct {
 	*roster.Target
-	// Running is the number of requests in progress there, by all nodes: the
-	// higher of Counted, the sum of the nodes' counts, and the target's own word,
-	// which may be a second old.
+	// Running is the number of requests in progress at the target from all nodes: the
+	// higher of Counted, the sum of the nodes' counts, and the load that the target itself
+	// reports, which may be a second old.
 	Running, Counted int
-	// Suspended targets get work only when most of their service is suspended.
+	// Suspended targets get requests only when most of their service is suspended.
 	Suspended bool
-	// Unreachable targets could not be connected to when they were tried last.
-	// They get work only when no other target is left.
+	// Unreachable targets are those to which the last connection attempt failed. They get
+	// requests only when no other target is left.
 	Unreachable bool
-	// Excluded targets were tried for this request.
+	// Excluded targets were already tried for this request.
 	Excluded bool
-	// Leaving targets have told this node in an answer that they leave.
+	// Leaving targets have announced in a response to this node that they shut down.
 	Leaving bool
-	// Resting targets have asked this node for no requests until a time that has not come.
+	// Resting targets have sent this node a Retry-After that has not yet expired.
 	Resting bool
-	// Outside targets are in a region to which the request may not go.
+	// Outside targets are in a region that the request may not be sent to.
 	Outside bool
-	// Cold targets have just started and bear few requests. One gets the request only
-	// if MaySend, the node's share of what it bears, allows it; if no other is left, it
-	// may if ColdRoom, how many more a second it bears, is over 0.
+	// Cold targets started recently and can take few requests. A cold target gets the
+	// request only if MaySend, this node's share of its capacity, allows it. If no other
+	// target is left, it also gets the request if ColdRoom, the number of further requests
+	// a second it can take, is over 0.
 	Cold, MaySend bool
 	ColdRoom      int
-	// Own is the part of Running that this node runs.
+	// Own is the part of Running that this node sent.
 	Own int
-	// Of a service that is not weighed whole: Biased candidates were taken because of the
-	// request, and nothing of the service is estimated from them. Unranked ones are not
-	// among the first in the order of the request's key, which all nodes share.
+	// These apply if only a subset of a large service is passed. Biased candidates were
+	// selected because of the request, so they are left out of estimates for the whole
+	// service. Unranked ones are not among the first in the rank order of the request's key,
+	// which is the same on all nodes.
 	Biased, Unranked bool
-	// Kept is the number of the request's shared prompt tokens that the target
-	// probably keeps. Settled says that it has surely read them by now.
+	// Kept is the number of the request's shared prompt tokens that the target probably
+	// caches. Settled reports that the prefill of these tokens must have finished by now.
 	Kept    int
 	Settled bool
 }
 
-// Barred says whether the target may not get the request at all, however few others are
-// left.
+// Barred reports whether the target may not get the request even if no other target is left.
 func (c *Candidate) Barred() bool {
 	return c.Draining || c.Leaving || c.Excluded || c.Evacuated || c.Outside
 }
 
-// Request is what placement needs of a request.
+// Request holds the properties of a request that placement depends on.
 type Request struct {
-	// Key is the hash of the prompt's last shared part, 0 for none.
+	// Key is the hash of the prompt's last shared part, 0 if it has none.
 	Key uint64
-	// Shared is the number of tokens of all shared parts.
+	// Shared is the total number of tokens in all shared parts.
 	Shared int
-	// FailureDomain is the node's, preferred between equals.
+	// FailureDomain is this node's failure domain, which is preferred between equal targets.
 	FailureDomain string
-	// Waiting is how many requests may wait at a target, in parts of its slots.
+	// Waiting is the number of requests that may queue at a target, as a fraction of its slots.
 	Waiting float64
 }
 
-// full says whether targets with as many slots have as many requests as they can
-// begin in time.
+// full reports whether the given slots are taken and the queue for them is full, so that
+// another request could not start in time.
 func (r Request) full(running, slots int) bool {
 	return slots > 0 && float64(running) >= float64(slots)*(1+r.Waiting)
 }
 
-// keptBy says whether a target probably keeps all of the request's shared parts.
-func (r Request) keptBy(c *Candidate) bool { return r.Shared > 0 && c.Kept >= r.Shared }
+// cachedBy reports whether a target probably caches all of the request's shared parts.
+func (r Request) cachedBy(c *Candidate) bool { return r.Shared > 0 && c.Kept >= r.Shared }
 
 // Policy sets the load bound.
 type Policy struct {
-	// LoadFactor and LoadSlack: a key leaves its target while that has over
+	// LoadFactor and LoadSlack: a key is not sent to a target that has more than
 	// LoadFactor times the mean + LoadSlack requests in progress.
 	LoadFactor float64
 	LoadSlack  float64
-	// OldCounts says that the counts are older than requests without a prompt
-	// last.
+	// OldCounts reports that the counts are older than the duration of a request without a
+	// prompt.
 	OldCounts bool
-	// MaxSuspended is the share of a pool that may be suspended; beyond it,
-	// suspensions are ignored, since a fault of the node's own is likelier.
+	// MaxSuspended is the largest share of a pool that may be suspended. Beyond it,
+	// suspensions are ignored, since a fault at this node is more likely.
 	MaxSuspended float64
 }
 
-// The load bound with counts that are nothing old, and what it loses with each
-// second of their age, down to the least: it leaves room below twice the mean + 3
-// for the requests that other nodes sent meanwhile.
+// The load bound for fresh counts, and how much its factor decreases for each second of
+// the counts' age, down to a minimum. The decrease leaves headroom below twice the mean + 3
+// for the requests that other nodes have sent since their last counts.
 const (
-	freshFactor    = 1.9
-	factorPerAge   = 0.5 // a second
-	leastFactor    = 1.4
-	defaultSlack   = 2
-	mostSuspended  = 0.6
-	smallFleetsAge = 200 * time.Millisecond
-	// oldCounts is several times what requests of plain services last. All nodes of a
-	// fleet have the same counts, so that they send to the same least loaded targets
-	// until the next counts come.
-	oldCounts = 300 * time.Millisecond
+	freshFactor         = 1.9
+	factorLossPerSecond = 0.5
+	minFactor           = 1.4
+	defaultSlack        = 2
+	maxSuspendedShare   = 0.6
+	smallFleetCountAge  = 200 * time.Millisecond
+	// staleCountAge is several times the duration of requests to plain services. All nodes
+	// of a fleet have the same counts, so above this age all of them would send to the same
+	// least loaded targets until the next counts arrive.
+	staleCountAge = 300 * time.Millisecond
 )
 
-// PolicyFor returns the policy for counts of other nodes that are age old.
+// PolicyFor returns the policy for other nodes' counts that are up to age old.
 func PolicyFor(age time.Duration) Policy {
-	older := max(age-smallFleetsAge, 0)
+	excess := max(age-smallFleetCountAge, 0)
 	return Policy{
-		LoadFactor:   max(freshFactor-factorPerAge*older.Seconds(), leastFactor),
+		LoadFactor:   max(freshFactor-factorLossPerSecond*excess.Seconds(), minFactor),
 		LoadSlack:    defaultSlack,
-		MaxSuspended: mostSuspended,
-		OldCounts:    age > oldCounts,
+		MaxSuspended: maxSuspendedShare,
+		OldCounts:    age > staleCountAge,
 	}
 }
 
-// DefaultPolicy is that of a small fleet.
-func DefaultPolicy() Policy { return PolicyFor(smallFleetsAge) }
+// DefaultPolicy returns the policy for a small fleet.
+func DefaultPolicy() Policy { return PolicyFor(smallFleetCountAge) }
 
-// Choice is the picked target.
+// Choice is the selected target.
 type Choice struct {
 	Target *roster.Target
-	// FetchFrom is a target that probably holds shared parts which Target
-	// lacks; nil for none.
+	// FetchFrom is a target that probably caches shared parts which Target lacks; nil if
+	// there is none.
 	FetchFrom *roster.Target
-	// Limit is the load bound that applied, Running the load at Target and Kept
-	// the shared tokens that Target probably keeps.
+	// Limit is the load bound that applied, Running the load at Target and Kept the number
+	// of shared tokens that Target probably caches.
 	Limit, Running, Kept int
-	// Fetched is how many tokens Target probably gets from FetchFrom.
+	// Fetched is the number of tokens that Target probably fetches from FetchFrom.
 	Fetched int
-	// Reason says why the request does or does not go to where its parts are.
+	// Reason is why the request was or was not sent to a target that caches its parts.
 	Reason Reason
 }
 
-// Reason says how a request's shared parts decided over its target.
+// Reason is the effect of a request's shared parts on the choice of its target.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
 	// NoParts: the request has no shared parts.
 	NoParts Reason = "no_parts"
-	// Keeps: the target keeps all parts.
+	// Keeps: the selected target caches all parts.
 	Keeps Reason = "keeps"
-	// FirstUse: no target keeps all parts, as far as the node knows.
+	// FirstUse: no target is recorded as caching all parts.
 	FirstUse Reason = "first_use"
-	// OverBound: those that keep all parts are over the load bound or full.
+	// OverBound: the targets that cache all parts are over the load bound or full.
 	OverBound Reason = "over_bound"
-	// KeeperGone: those that keep all parts may get no work: they leave, were
-	// tried, are suspended or can't be reached.
-	KeeperGone Reason = "keeper_gone"
+	// HolderUnavailable: the targets that cache all parts are not eligible: they are shutting
+	// down, suspended, unreachable or were already tried.
+	HolderUnavailable Reason = "keeper_gone"
 )
 
-// reason works out why chosen was picked for a request with shared parts.
+// reason returns why chosen was selected for a request with shared parts.
 func (s Service) reason(req Request, chosen *Candidate) Reason {
 	switch {
-	case req.keptBy(chosen):
+	case req.cachedBy(chosen):
 		return Keeps
-	case slices.ContainsFunc(s.eligible, req.keptBy):
+	case slices.ContainsFunc(s.eligible, req.cachedBy):
 		return OverBound
-	case s.hasKeeper(req):
-		return KeeperGone
+	case s.isCachedAnywhere(req):
+		return HolderUnavailable
 	}
 	return FirstUse
 }
 
-// hasKeeper says whether a candidate keeps all parts, whether it may get work or not.
-func (s Service) hasKeeper(req Request) bool {
+// isCachedAnywhere reports whether any candidate, eligible or not, caches all parts.
+func (s Service) isCachedAnywhere(req Request) bool {
 	for i := range s.all {
-		if req.keptBy(&s.all[i]) {
+		if req.cachedBy(&s.all[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// Service is the candidates of one service.
+// Service holds the candidates of one service.
 type Service struct {
 	policy Policy
 	all    []Candidate
-	// eligible are those that may get work now, whatever the request.
+	// eligible are the candidates that may currently get requests of any kind.
 	eligible []*Candidate
-	// open are the eligible ones without the cold ones that have had their share.
-	open []*Candidate
-	// bounded are those by whose mean load the bound goes.
-	bounded []*Candidate
+	// sendable are the eligible candidates without the cold ones for which this node's
+	// share is used up.
+	sendable []*Candidate
+	// loadBasis are the candidates whose mean load the load bound is computed from.
+	loadBasis []*Candidate
 }
 
-// NewService sorts out which candidates of a service may get work. They must not change
-// while the Service is used.
+// NewService determines which candidates of a service may get requests. The candidates must
+// not change while the Service is in use.
 func NewService(cands []Candidate, p Policy) Service {
 	eligible := filter(cands, p)
-	return Service{policy: p, all: cands, eligible: eligible, open: open(eligible), bounded: bounded(cands, eligible)}
+	return Service{policy: p, all: cands, eligible: eligible, sendable: sendable(eligible), loadBasis: loadBasis(cands, eligible)}
 }
 
-// bounded returns the eligible candidates, those in evacuated failure domains and those
-// that rest. The bound is a multiple of the mean over a service's targets, of which these
-// still are: by the mean of the others it would grow with each that gets nothing.
-func bounded(all []Candidate, eligible []*Candidate) []*Candidate {
+// loadBasis returns the eligible candidates, those in evacuated failure domains and those
+// with a pending Retry-After. The bound is a multiple of the mean over a service's targets,
+// and these still belong to it. If they were left out, the bound would grow with each target
+// that gets no requests.
+func loadBasis(all []Candidate, eligible []*Candidate) []*Candidate {
 	out := eligible
 	for i := range all {
 		c := &all[i]
@@ -212,29 +218,29 @@
 	return out
 }
 
-// Eligible returns the candidates that may get work now. The caller must not
-// change them.
+// Eligible returns the candidates that may currently get requests. The caller must not
+// modify them.
 func (s Service) Eligible() []*Candidate { return s.eligible }
 
-// All returns all candidates. The caller must not change them.
+// All returns all candidates. The caller must not modify them.
 func (s Service) All() []Candidate { return s.all }
 
-// Pick chooses a target. ok is false if no candidate may get the request.
+// Pick selects a target. ok is false if no candidate may get the request.
 func (s Service) Pick(req Request, rng *rand.Rand) (c Choice, ok bool) {
 	if len(s.eligible) == 0 {
 		return Choice{}, false
 	}
-	limit := loadLimit(s.bounded, s.policy)
+	limit := loadLimit(s.loadBasis, s.policy)
 	var chosen *Candidate
 	switch {
-	case len(s.open) == 0:
-		if chosen, ok = leastCold(s.eligible, rng); !ok {
+	case len(s.sendable) == 0:
+		if chosen, ok = pickCold(s.eligible, rng); !ok {
 			return Choice{}, false
 		}
 	case req.Key == 0:
-		chosen = unkeyed(s.open, req, s.policy, rng)
+		chosen = pickUnkeyed(s.sendable, req, s.policy, rng)
 	default:
-		chosen = s.keyed(req, limit, rng)
+		chosen = s.pickKeyed(req, limit, rng)
 	}
 	if req.Key == 0 {
 		return Choice{Target: chosen.Target, Limit: limit, Running: chosen.Running, Reason: NoParts}, true
@@ -243,18 +249,19 @@
 		Target: chosen.Target, Limit: limit, Running: chosen.Running, Kept: chosen.Kept,
 		Reason: s.reason(req, chosen),
 	}
-	if from, ok := holder(s.all, chosen); ok {
+	if from, ok := fetchSource(s.all, chosen); ok {
 		choice.FetchFrom, choice.Fetched = from.Target, from.Kept-chosen.Kept
 	}
 	return choice, true
 }
 
-// filter returns the candidates that may get work. Targets that drain, leave or rest, were
-// tried, or are in an evacuated failure domain or a region not allowed never do. Each other
-// step gives way if it would leave none: first suspensions, then targets that can't be
-// reached, then fallback targets. Suspensions are a guess from failures and give way sooner,
-// when they would take most of a service; what can't be reached is no use however many
-// targets that are.
+// filter returns the candidates that may get requests. Targets that are draining, shutting
+// down or in a Retry-After period, were already tried, or are in an evacuated failure domain
+// or a disallowed region are always removed. Each other filter is skipped if it would leave no
+// candidate: first the one for suspended targets, then the one for unreachable targets, then
+// the one for fallback targets. Suspensions are inferred from failures, so they are also
+// ignored when they would remove most of a service. Unreachable targets are removed however
+// many there are, since requests to them can't succeed.
 func filter(cands []Candidate, p Policy) []*Candidate {
 	serving := make([]*Candidate, 0, len(cands))
 	var fallback []*Candidate
@@ -288,8 +295,8 @@
 	return healthy
 }
 
-// reachable returns the candidates that can be reached, all if there are none,
-// and how many of them are suspended. It changes the order of serving.
+// reachable returns the reachable candidates, or all if none is reachable, and the number
+// of suspended ones among them. It reorders serving.
 func reachable(serving []*Candidate, suspended int) ([]*Candidate, int) {
 	isUnreachable := func(c *Candidate) bool { return c.Unreachable }
 	isReachable := func(c *Candidate) bool { return !c.Unreachable }
@@ -306,14 +313,14 @@
 	return out, left
 }
 
-// loadLimit goes by the nodes' counts alone: while the load falls, the targets'
-// own words make the mean look larger than it is, and a limit over the bound.
+// loadLimit uses only the nodes' counts. While the load falls, the loads that the targets
+// report are outdated and too high, and so would be the mean and the limit.
 func loadLimit(cands []*Candidate, p Policy) int {
 	return int(p.LoadFactor*meanLoad(cands) + p.LoadSlack)
 }
 
-// meanLoad returns how many requests the candidates have in progress on average,
-// by the nodes' counts.
+// meanLoad returns the mean number of requests in progress at the candidates, from the
+// nodes' counts.
 func meanLoad(cands []*Candidate) float64 {
 	total, sampled := 0, 0
 	for _, c := range cands {
@@ -325,38 +332,38 @@
 	return float64(total) / float64(max(sampled, 1))
 }
 
-// keyed returns a candidate that is under the limit and not full: one that keeps
-// all shared parts if there is one, else any. If there is none, it returns the
-// least loaded.
-func (s Service) keyed(req Request, limit int, rng *rand.Rand) *Candidate {
-	allFull := allFull(s.open, req)
+// pickKeyed returns a candidate that is under the limit and not full: one that caches
+// all shared parts if there is one, else any. If every candidate is over the limit or
+// full, it returns the least loaded.
+func (s Service) pickKeyed(req Request, limit int, rng *rand.Rand) *Candidate {
+	allFull := allFull(s.sendable, req)
 	hasRoom := func(c *Candidate) bool {
 		return c.Running <= limit && (allFull || !req.full(c.Running, c.Slots))
 	}
-	var whole []*Candidate
-	for _, c := range s.open {
-		if req.keptBy(c) && hasRoom(c) {
-			whole = append(whole, c)
+	var holders []*Candidate
+	for _, c := range s.sendable {
+		if req.cachedBy(c) && hasRoom(c) {
+			holders = append(holders, c)
 		}
 	}
-	if len(whole) > 0 {
-		return spread(whole, req, limit, rng)
+	if len(holders) > 0 {
+		return pickByHeadroom(holders, req, limit, rng)
 	}
-	rest := make([]*Candidate, 0, len(s.open))
-	for _, c := range s.open {
+	available := make([]*Candidate, 0, len(s.sendable))
+	for _, c := range s.sendable {
 		if hasRoom(c) {
-			rest = append(rest, c)
+			available = append(available, c)
 		}
 	}
-	if len(rest) == 0 {
-		return leastLoaded(s.open, req, rng)
+	if len(available) == 0 {
+		return leastLoaded(s.sendable, req, rng)
 	}
-	return s.leave(rest, req)
+	return s.spill(available, req)
 }
 
-// allFull says whether the candidates together have as many requests as they can
-// begin in time. Then none is better than the others for having room, and the
-// load bound alone spreads them.
+// allFull reports whether the slots and queues of all candidates together are full. In
+// that case free slots don't distinguish the candidates, and only the load bound spreads
+// requests.
 func allFull(cands []*Candidate, req Request) bool {
 	running, slots := 0, 0
 	for _, c := range cands {
@@ -368,46 +375,47 @@
 	return req.full(running, slots)
 }
 
-// nearWeight is how much likelier a copy in the node's own failure domain is
-// taken than another with the same room: bytes between domains have a price.
-const nearWeight = 3
+// localWeight is how many times more likely a copy in this node's failure domain is
+// selected than another copy with the same headroom, since traffic between failure domains
+// is charged for.
+const localWeight = 3
 
-// spread returns one of the candidates that keep all parts, at random in
-// proportion to their room under the limit. Counts are as old as the nodes'
-// reports: if all nodes sent a hot key to the same copy until it looks full, and
-// then to the same next one, each would overshoot in turn.
-func spread(whole []*Candidate, req Request, limit int, rng *rand.Rand) *Candidate {
+// pickByHeadroom returns one of the candidates, at random in proportion to their headroom
+// under the limit. Counts are only as recent as the nodes' reports: if all nodes sent a hot
+// key to the same copy until it appears full and then to the same next one, each copy in
+// turn would exceed the bound.
+func pickByHeadroom(cands []*Candidate, req Request, limit int, rng *rand.Rand) *Candidate {
 	total := 0
-	for _, c := range whole {
-		total += room(c, req, limit)
+	for _, c := range cands {
+		total += headroomWeight(c, req, limit)
 	}
 	at := rng.IntN(total)
-	for _, c := range whole {
-		if at -= room(c, req, limit); at < 0 {
+	for _, c := range cands {
+		if at -= headroomWeight(c, req, limit); at < 0 {
 			return c
 		}
 	}
-	return whole[len(whole)-1]
+	return cands[len(cands)-1]
 }
 
-// steadiness times the limit is added to each candidate's room. With the room
-// alone as the weight, old counts make the copies full and empty by turns.
-const steadiness = 2
+// headroomOffset times the limit is added to each candidate's headroom. If the headroom
+// alone is the weight, outdated counts make the load of the copies oscillate between
+// empty and full.
+const headroomOffset = 2
 
-// room is the weight of a candidate under the limit, at least 1.
-func room(c *Candidate, req Request, limit int) int {
-	free := limit + 1 - c.Running + steadiness*limit
+// headroomWeight returns the selection weight of a candidate under the limit, at least 1.
+func headroomWeight(c *Candidate, req Request, limit int) int {
+	free := limit + 1 - c.Running + headroomOffset*limit
 	if c.FailureDomain == req.FailureDomain {
-		return nearWeight * free
+		return localWeight * free
 	}
 	return free
 }
 
-// unkeyed returns the least loaded candidate. If the counts are older than
-// requests last, it returns one at random in proportion to the room for its
-// slots: the least loaded one would get all requests of all nodes until the next
-// reports.
-func unkeyed(cands []*Candidate, req Request, p Policy, rng *rand.Rand) *Candidate {
+// pickUnkeyed returns the least loaded candidate. If the counts are older than the duration
+// of a request, it returns one at random in proportion to the headroom in its slots, since
+// the least loaded one would get all requests of all nodes until the next reports.
+func pickUnkeyed(cands []*Candidate, req Request, p Policy, rng *rand.Rand) *Candidate {
 	if !p.OldCounts {
 		return leastLoaded(cands, req, rng)
 	}
@@ -415,17 +423,18 @@
 	for _, c := range cands {
 		most = max(most, c.Slots, c.Running)
 	}
-	return spread(cands, req, most, rng)
+	return pickByHeadroom(cands, req, most, rng)
 }
 
-// minFetch is the least number of tokens worth a transfer between targets,
-// which costs a few milliseconds to set up: engines read about as many tokens
-// in that time.
+// minFetch is the minimum number of tokens for which a transfer between targets is used.
+// Setting up a transfer takes a few milliseconds, in which engines prefill about as many
+// tokens.
 const minFetch = 64
 
-// holder returns the target that keeps most of the parts which the chosen one
-// lacks; ok is false if none keeps enough of them. A draining target still serves.
-func holder(cands []Candidate, chosen *Candidate) (from *Candidate, ok bool) {
+// fetchSource returns the target that caches the most of the parts which the chosen one
+// lacks; ok is false if none caches enough of them. Draining targets are included, since
+// they still serve transfers.
+func fetchSource(cands []Candidate, chosen *Candidate) (from *Candidate, ok bool) {
 	most := -1
 	for i := range cands {
 		c := &cands[i]
@@ -442,8 +451,8 @@
 	return &cands[most], true
 }
 
-// leastLoaded returns a candidate with the fewest requests in progress for its
-// slots, one of the node's failure domain if there is one, else a random one.
+// leastLoaded returns a candidate with the fewest requests in progress per slot. Ties are
+// broken in favor of this node's failure domain, then at random.
 func leastLoaded(cands []*Candidate, req Request, rng *rand.Rand) *Candidate {
 	best, ties := 0, 1
 	for i := 1; i < len(cands); i++ {
@@ -460,18 +469,18 @@
 	return cands[best]
 }
 
-// compareLoad prefers the fewer requests in progress for the slots. A target of
-// another failure domain counts as having farBias more: bytes between domains
-// have a price, and at low load the difference in waiting is nothing.
+// compareLoad orders candidates by requests in progress per slot. A target of another
+// failure domain counts as having remoteBias more, since traffic between failure domains is
+// charged for and the difference in waiting time is negligible at low load.
 func compareLoad(a, b *Candidate, req Request) int {
-	return loadWithBias(a, req)*max(b.Slots, 1) - loadWithBias(b, req)*max(a.Slots, 1)
+	return biasedLoad(a, req)*max(b.Slots, 1) - biasedLoad(b, req)*max(a.Slots, 1)
 }
 
-const farBias = 1
+const remoteBias = 1
 
-func loadWithBias(c *Candidate, req Request) int {
+func biasedLoad(c *Candidate, req Request) int {
 	if c.FailureDomain == req.FailureDomain {
 		return c.Running
 	}
-	return c.Running + farBias
+	return c.Running + remoteBias
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -24,8 +24,7 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// pickCounted picks where the nodes' counts are what the targets run, unless a
-// test says otherwise.
+// pickCounted picks with Counted set to Running wherever a test has not set it.
 func pickCounted(cands []Candidate, req Request, p Policy, rng *rand.Rand) (Choice, bool) {
 	for i := range cands {
 		if cands[i].Counted <= 0 {
@@ -59,13 +58,12 @@
 	return nil
 }
 
-func keep(c *Candidate, tokens int) { c.Kept, c.Settled = tokens, true }
+func setCached(c *Candidate, tokens int) { c.Kept, c.Settled = tokens, true }
 
-// A key that leaves its full target, or one that is leaving, gets its copy in the
-// same failure domain, where the transfer is shortest. Then both copies serve,
-// likelier the one that is near.
-func TestCopyIsMadeInTheKeepersDomain(t *testing.T) {
-	for name, leave := range map[string]func(*Candidate){
+// A key whose target is full or draining gets its copy in the same failure domain, where the
+// transfer is shortest. If no target there has room, the copy goes to another domain.
+func TestCopyIsPlacedInAHoldersDomain(t *testing.T) {
+	for name, makeUnavailable := range map[string]func(*Candidate){
 		"full":    func(c *Candidate) { c.Running = 20 },
 		"leaving": func(c *Candidate) { c.Draining = true },
 	} {
@@ -74,8 +72,8 @@
 			for i := range cands {
 				cands[i].FailureDomain = []string{"a", "b"}[i%2]
 			}
-			keep(&cands[1], 1000)
-			leave(&cands[1])
+			setCached(&cands[1], 1000)
+			makeUnavailable(&cands[1])
 			copied := pick(t, cands, Request{Key: 7, Shared: 1000, FailureDomain: "a"})
 			is.Equal(copied.Target.FailureDomain, "b")
 			is.Equal(copied.FetchFrom, cands[1].Target)
@@ -87,21 +85,21 @@
 					full[i].Running = 60
 				}
 			}
-			keep(&full[1], 1000)
+			setCached(&full[1], 1000)
 			elsewhere := pick(t, full, Request{Key: 7, Shared: 1000, FailureDomain: "a"})
-			is.Equal(elsewhere.Target.FailureDomain, "a") // none with room in the domain
+			is.Equal(elsewhere.Target.FailureDomain, "a") // no target in the domain has room
 		})
 	}
 }
 
-// Of two copies the one in the node's own failure domain is used more often.
+// Of two copies, the one in the node's own failure domain is used more often.
 func TestNearCopyIsUsedMore(t *testing.T) {
 	is, cands := is.New(t), pool(6)
 	for i := range cands {
 		cands[i].FailureDomain = []string{"a", "b"}[i%2]
 	}
-	keep(&cands[0], 1000)
-	keep(&cands[1], 1000)
+	setCached(&cands[0], 1000)
+	setCached(&cands[1], 1000)
 	for domain, near := range map[string]string{"a": cands[0].ID, "b": cands[1].ID} {
 		req := Request{Key: 7, Shared: 1000, FailureDomain: domain}
 		taken, rng := 0, rng()
@@ -112,7 +110,7 @@
 				taken++
 			}
 		}
-		is.True(taken > 650 && taken < 850) // nearWeight of nearWeight + 1
+		is.True(taken > 650 && taken < 850) // localWeight of localWeight + 1
 	}
 }
 
@@ -126,46 +124,46 @@
 	}
 }
 
-// A key that gets much of the traffic spreads to its next targets, which fetch
-// its parts from the first, and then are used again.
+// A hot key spreads to the next targets in its order. They fetch its parts from the first
+// target and are then selected again.
 func TestHotKeySpreads(t *testing.T) {
 	is, cands := is.New(t), pool(18)
 	req := Request{Key: 7, Shared: 1000}
 	home := pick(t, cands, req).Target
 	byID(cands, home.ID).Running = 10
-	keep(byID(cands, home.ID), 1000)
+	setCached(byID(cands, home.ID), 1000)
 	c := pick(t, cands, req)
 	is.True(c.Target != home)
 	is.Equal(c.FetchFrom, home)
-	keep(byID(cands, c.Target.ID), 1000)
+	setCached(byID(cands, c.Target.ID), 1000)
 	again := pick(t, cands, req)
 	is.Equal(again.Target, c.Target)
 	is.Equal(again.FetchFrom, nil)
 }
 
-// Keys stay with the targets that keep their parts when others join.
+// Keys stay with the targets that cache their parts when other targets join.
 func TestKeyStaysWhereItsPartsAre(t *testing.T) {
 	is, cands := is.New(t), pool(18)
 	req := Request{Key: 7, Shared: 1000}
 	home := pick(t, cands, req).Target
 	for i := range cands {
 		if cands[i].Target != home {
-			cands[i].Kept = 1000 // just sent there
+			cands[i].Kept = 1000 // the request was just sent there
 			is.Equal(pick(t, cands, req).Target, cands[i].Target)
 			break
 		}
 	}
 }
 
-// A target that keeps only the first parts is no better a place, but they are
-// fetched from it.
+// A target that caches only the first parts is not preferred, but the parts are fetched from
+// it.
 func TestFirstPartsAreFetched(t *testing.T) {
 	is, cands := is.New(t), pool(18)
 	req := Request{Key: 7, Shared: 1000}
 	home := pick(t, cands, req).Target
 	for i := range cands {
 		if cands[i].Target != home {
-			keep(&cands[i], 300)
+			setCached(&cands[i], 300)
 			c := pick(t, cands, req)
 			is.Equal(c.Target, home)
 			is.Equal(c.FetchFrom, cands[i].Target)
@@ -190,7 +188,7 @@
 	drained := *home
 	drained.Draining = true
 	byID(cands, home.ID).Target = &drained
-	keep(byID(cands, home.ID), 1000)
+	setCached(byID(cands, home.ID), 1000)
 	c := pick(t, cands, Request{Key: 7})
 	is.True(c.Target.ID != home.ID)
 	is.Equal(c.FetchFrom.ID, home.ID)
@@ -200,14 +198,14 @@
 	is, cands := is.New(t), pool(4)
 	home := pick(t, cands, Request{Key: 7}).Target
 	byID(cands, home.ID).Suspended = true
-	keep(byID(cands, home.ID), 1000)
+	setCached(byID(cands, home.ID), 1000)
 	c := pick(t, cands, Request{Key: 7})
 	is.True(c.Target != home)
 	is.Equal(c.FetchFrom, nil)
 }
 
-// When most targets are suspended, the node's own link is likelier to blame.
-func TestSuspensionsGiveWayWhenMostAre(t *testing.T) {
+// When most targets are suspended, a fault of the node's own link is more likely.
+func TestSuspensionsAreIgnoredWhenMostAreSuspended(t *testing.T) {
 	cands := pool(4)
 	home := pick(t, cands, Request{Key: 7}).Target
 	for i := range cands {
@@ -254,11 +252,10 @@
 	is.Equal(pick(t, cands, Request{FailureDomain: "here"}).Target, cands[1].Target)
 }
 
-// Many nodes report one after the other, so that the sum of their counts is as
-// old as half of their interval on average. They send one hot key, whose copies
-// are on several targets, without overshooting the bound of twice the mean + 3
-// on more than 3 in 100 requests. In a tick, a hundredth of the interval and of
-// a request's duration, one such request begins.
+// Many nodes report one after the other, so that the sum of their counts is on average half
+// an interval old. They send one hot key, whose copies are on several targets. At most 3 in
+// 100 requests may exceed the bound of twice the mean + 3. One such request starts in each
+// tick, which is a hundredth of the interval and of a request's duration.
 func TestHotKeyWithOldCounts(t *testing.T) {
 	const targets, copies, ticks, interval, duration, others = 20, 10, 4000, 100, 100, 5
 	rng, cands := rng(), pool(targets)
@@ -267,7 +264,7 @@
 		actual[i] = others
 	}
 	for i := range copies {
-		keep(&cands[i], 1000)
+		setCached(&cands[i], 1000)
 	}
 	history := make([][]int, 0, ticks)
 	ends := make(map[int][]int)
@@ -313,12 +310,12 @@
 	is.Equal(DefaultPolicy().LoadFactor, freshFactor)
 	is.Equal(PolicyFor(0).LoadFactor, freshFactor)
 	is.True(PolicyFor(time.Second).LoadFactor < freshFactor)
-	is.Equal(PolicyFor(time.Minute).LoadFactor, leastFactor)
+	is.Equal(PolicyFor(time.Minute).LoadFactor, minFactor)
 }
 
-// With counts that are older than requests last, requests of all nodes don't
-// run together at the target that was least loaded at the last report.
-func TestOldCountsDoNotMakeAHerd(t *testing.T) {
+// With counts that are older than the duration of a request, the requests of all nodes don't
+// go to the one target that was least loaded in the last report.
+func TestOldCountsCauseNoThunderingHerd(t *testing.T) {
 	cands := pool(4)
 	for i := range cands {
 		cands[i].Slots, cands[i].Running = 6, 3
@@ -336,8 +333,8 @@
 	is.New(t).Equal(len(got), 4)
 }
 
-// When most of a service is dead, its other targets get all work: the dead ones
-// would only use up attempts.
+// When most of a service is unreachable, its other targets get all requests, since the
+// unreachable ones would only use up attempts.
 func TestUnreachableTargetsGetNothingHoweverMany(t *testing.T) {
 	is, cands := is.New(t), pool(18)
 	for i := range cands {
@@ -353,14 +350,14 @@
 	is.True(ok)
 }
 
-// A target that has as many requests as slots makes a new one wait, so that the
-// prompt's parts are better read again, or fetched, elsewhere.
+// A request to a target without a free slot has to wait, so it is better to prefill or fetch
+// the prompt's parts at another target.
 func TestFullTargetGetsNoKeyWhileOthersHaveRoom(t *testing.T) {
 	is, cands := is.New(t), pool(6)
 	for i := range cands {
 		cands[i].Running = 5
 	}
-	keep(&cands[2], 1000)
+	setCached(&cands[2], 1000)
 	cands[2].Running = 8
 	req := Request{Key: 7, Shared: 1000}
 	is.True(pick(t, cands, req).Target != cands[2].Target)
@@ -373,8 +370,8 @@
 	is.Equal(pick(t, cands, req).Target, cands[2].Target) // all are full
 }
 
-// While the load falls, what the targets said a moment ago is more than they run
-// now. A limit by that would let a target get over the bound.
+// While the load falls, the loads last reported by the targets are higher than the current
+// ones. A limit based on them would let a target exceed the bound.
 func TestLimitGoesByCounts(t *testing.T) {
 	is, cands := is.New(t), pool(6)
 	for i := range cands {
@@ -384,21 +381,22 @@
 	is.True(c.Limit <= 2*7+3)
 }
 
-// Each choice says why it does or does not go to where the parts are.
-func TestChoiceNamesItsReason(t *testing.T) {
-	kept, free := Request{Key: 7, Shared: 1000}, Request{}
+// Each choice gives the reason why the request was or was not sent to a target that caches
+// its parts.
+func TestChoiceReason(t *testing.T) {
+	withParts, withoutParts := Request{Key: 7, Shared: 1000}, Request{}
 	for _, c := range []struct {
 		name string
 		set  func(home *Candidate)
 		req  Request
 		want Reason
 	}{
-		{"no parts", func(*Candidate) {}, free, NoParts},
-		{"nobody keeps them", func(*Candidate) {}, kept, FirstUse},
-		{"kept", func(h *Candidate) { keep(h, 1000) }, kept, Keeps},
-		{"over the bound", func(h *Candidate) { keep(h, 1000); h.Running = 20 }, kept, OverBound},
-		{"leaves", func(h *Candidate) { keep(h, 1000); h.Draining = true }, kept, KeeperGone},
-		{"tried", func(h *Candidate) { keep(h, 1000); h.Excluded = true }, kept, KeeperGone},
+		{"no parts", func(*Candidate) {}, withoutParts, NoParts},
+		{"not cached", func(*Candidate) {}, withParts, FirstUse},
+		{"cached", func(h *Candidate) { setCached(h, 1000) }, withParts, Keeps},
+		{"over the bound", func(h *Candidate) { setCached(h, 1000); h.Running = 20 }, withParts, OverBound},
+		{"draining", func(h *Candidate) { setCached(h, 1000); h.Draining = true }, withParts, HolderUnavailable},
+		{"tried", func(h *Candidate) { setCached(h, 1000); h.Excluded = true }, withParts, HolderUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is, cands := is.New(t), pool(6)
@@ -409,7 +407,7 @@
 			c.set(&cands[0])
 			choice := pick(t, cands, c.req)
 			is.Equal(choice.Reason, c.want)
-			is.Equal(choice.Fetched > 0, c.want == OverBound || c.want == KeeperGone)
+			is.Equal(choice.Fetched > 0, c.want == OverBound || c.want == HolderUnavailable)
 		})
 	}
 }
--- a/placement/sim_news_test.go
+++ b/placement/sim_exchange_test.go
@@ -8,14 +8,13 @@
 	"github.com/knapweedgw/knapweedgw/heartbeat"
 )
 
-// How the nodes of the model tell each other their counts: as they do in earnest, or by
-// a mesh of reports as old as the test wants.
+// The simulated nodes exchange their counts either through the heartbeat package, as in
+// production, or by full-mesh reports with an interval set by the test.
 
 func simName(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1) }
 
-// startNews lets the nodes know each other, if they are to tell each other news as they
-// do in earnest.
-func (s *sim) startNews() {
+// startExchange makes the nodes known to each other if they use the heartbeat package.
+func (s *sim) startExchange() {
 	if s.interval > 0 {
 		return
 	}
@@ -24,31 +23,31 @@
 		names[i] = simName(i)
 	}
 	for _, n := range s.members {
-		n.news = heartbeat.NewMachine(heartbeat.DefaultConfig(), n.name, 1, rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
-		n.news.Know(simTime(0), names...)
+		n.machine = heartbeat.NewMachine(heartbeat.DefaultConfig(), n.name, 1, rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
+		n.machine.Know(simTime(0), names...)
 		n.next = s.rng.Float64() * float64(heartbeat.DefaultConfig().Interval.Milliseconds())
 	}
 }
 
-// exchange has the nodes tell each other news as they do in earnest.
+// exchange runs the heartbeat machines of the nodes and delivers their messages.
 func (s *sim) exchange(tick int) {
 	for _, n := range s.members {
 		if n.next > float64(tick) {
 			continue
 		}
-		out, next, err := n.news.Step(n.report(s, tick), nil, simTime(tick))
+		out, next, err := n.machine.Step(n.report(s, tick), nil, simTime(tick))
 		if err != nil {
 			panic(err)
 		}
 		n.next += max(1, float64(next.Milliseconds()))
 		for _, d := range out {
-			s.deliver(s.members[s.byName[d.To]], d.Body, tick)
+			s.deliver(s.members[s.nodeIndex[d.To]], d.Body, tick)
 		}
 	}
 }
 
 func (s *sim) deliver(to *simNode, body []byte, tick int) {
-	a, err := to.news.Receive(body, simTime(tick))
+	a, err := to.machine.Receive(body, simTime(tick))
 	if err != nil {
 		panic(err)
 	}
@@ -60,15 +59,15 @@
 	}
 }
 
-// told returns what the other nodes say of a target.
-func (n *simNode) told(hash uint64) heartbeat.Sum {
-	if n.news != nil {
-		return n.news.Target(hash)
+// othersCounts returns the sum of the other nodes' counts of a target.
+func (n *simNode) othersCounts(hash uint64) heartbeat.Sum {
+	if n.machine != nil {
+		return n.machine.Target(hash)
 	}
 	return n.view.Target(hash)
 }
 
-// age is how old counts of other nodes get.
+// age returns the greatest age of other nodes' counts.
 func (w world) age() time.Duration {
 	if w.interval > 0 {
 		return w.interval
@@ -76,23 +75,23 @@
 	return heartbeat.DefaultConfig().CountAgeFor(w.nodes)
 }
 
-// between is the time between two reports to the same node.
-func (w world) between() time.Duration {
+// reportInterval returns the time between two reports to the same node.
+func (w world) reportInterval() time.Duration {
 	if w.interval > 0 {
 		return w.interval
 	}
 	return heartbeat.DefaultConfig().IntervalFor(w.nodes)
 }
 
-// batch is the number of nodes that get a report at the same moment.
-func (s *sim) batch() int {
-	const meshBatch = 8 // of the mesh that is weighed
+// batchSize returns the number of nodes that get a report at the same moment.
+func (s *sim) batchSize() int {
+	const meshBatch = 8 // of the full-mesh reports
 	return min(meshBatch, s.nodes-1)
 }
 
-// pace returns the ticks between two batches of a node.
-func (s *sim) pace() float64 {
-	return float64(s.interval.Milliseconds()) * float64(s.batch()) / float64(s.nodes-1)
+// batchInterval returns the ticks between two batches of a node.
+func (s *sim) batchInterval() float64 {
+	return float64(s.interval.Milliseconds()) * float64(s.batchSize()) / float64(s.nodes-1)
 }
 
 func (s *sim) reports(tick int) {
@@ -102,14 +101,14 @@
 	}
 	for at, n := range s.members {
 		for n.next <= float64(tick) {
-			n.next += s.pace()
+			n.next += s.batchInterval()
 			r := n.report(s, tick)
-			for range s.batch() {
-				n.turn = (n.turn + 1) % s.nodes
-				if n.turn == at {
-					n.turn = (n.turn + 1) % s.nodes
+			for range s.batchSize() {
+				n.nextPeer = (n.nextPeer + 1) % s.nodes
+				if n.nextPeer == at {
+					n.nextPeer = (n.nextPeer + 1) % s.nodes
 				}
-				to := s.members[n.turn]
+				to := s.members[n.nextPeer]
 				to.view.Receive(r, simTime(tick))
 				for _, u := range r.Uses {
 					to.parts.Heard(u, simTime(tick))
@@ -121,7 +120,7 @@
 
 func (n *simNode) report(s *sim, tick int) heartbeat.Report {
 	const slack = 50 // ticks
-	for len(n.uses) > 0 && n.usesAt[0] < tick-int(s.between().Milliseconds())-slack {
+	for len(n.uses) > 0 && n.usesAt[0] < tick-int(s.reportInterval().Milliseconds())-slack {
 		n.uses, n.usesAt = n.uses[1:], n.usesAt[1:]
 	}
 	n.sequence++
