--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -1,11 +1,11 @@
-// Package affinity remembers which targets keep which shared parts of prompts,
-// from what this node and others sent there. It is pure: the caller passes the
-// time, and one goroutine at a time may use a Table.
+// Package affinity records which targets cache which shared parts of prompts, from the
+// requests that this node and others sent there. It is pure: the caller passes the time.
+// A Table is not safe for concurrent use.
 //
-// Rendezvous alone would do without memory while the targets stay the same. It
-// moves keys whenever one joins or leaves, and each move makes a target read a
-// part again that another has, or copy it. With the memory, keys stay where they
-// are and only new ones go to new targets.
+// While the set of targets stays the same, rendezvous hashing alone would do. It moves keys
+// whenever a target joins or leaves, and after each move a target has to prefill or fetch a
+// part that another target caches. With the record, keys stay where they are and only new
+// ones go to new targets.
 package affinity
 
 import (
@@ -13,49 +13,49 @@
 	"time"
 )
 
-// Part is a shared part of a prompt.
+// Part is a section of a prompt that other requests share.
 type Part struct {
 	Hash   uint64
 	Tokens int
 }
 
-// Config bounds a Table.
+// Config sets the expiry times and limits of a Table.
 type Config struct {
-	// Keep is how long a target is taken to keep a part after its last use.
-	// Engines drop the least recently used parts when their memory is full.
-	Keep time.Duration
-	// Settle is how long a target needs to read a part: about 100 ms for the
-	// longest, several times that when it is busy.
+	// TTL is how long a target is assumed to cache a part after its last use. Engines evict
+	// the least recently used parts when their memory is full.
+	TTL time.Duration
+	// Settle is how long a target needs to prefill a part: about 100 ms for the longest, and
+	// several times that when it is busy.
 	Settle time.Duration
 	// InUse is how long after its last use a part is likely to be used again.
 	InUse time.Duration
-	// MaxHolders is the most targets remembered for one part, and MaxParts
-	// the most parts.
+	// MaxHolders is the maximum number of targets recorded for one part, and MaxParts the
+	// maximum number of parts.
 	MaxHolders, MaxParts int
-	// Refresh is how often a node tells the others again of a use that they
-	// know already: well below Keep, so that one lost report does no harm.
+	// Refresh is the interval at which a node reports a use again that the others already
+	// have: well below TTL, so that the loss of one report has no effect.
 	Refresh time.Duration
 }
 
-// DefaultConfig holds for engines whose memory turns over within a minute or
-// more at the usual load: 700,000 tokens at 8,000 new tokens a second.
+// DefaultConfig suits engines whose cache turns over in a minute or more at the usual
+// load: 700,000 tokens at 8,000 new tokens a second.
 func DefaultConfig() Config {
 	return Config{
-		Keep: time.Minute, Settle: 600 * time.Millisecond, InUse: 10 * time.Second,
+		TTL: time.Minute, Settle: 600 * time.Millisecond, InUse: 10 * time.Second,
 		MaxHolders: 32, MaxParts: 50_000, Refresh: 8 * time.Second,
 	}
 }
 
 type holder struct {
-	target uint32
-	first  time.Time
-	used   time.Time
-	told   time.Time // when this node told the others, or heard it
+	target   uint32
+	first    time.Time
+	used     time.Time
+	reported time.Time // when this node last reported the use, or received it
 }
 
-// Table says which targets keep which parts. Parts and the runs of targets are
-// named by the lower halves of their hashes; a collision costs one wrong guess. A
-// target that starts again has a new hash, so that nothing is known of its memory.
+// Table maps parts to the targets that cache them. Parts and the runs of targets are
+// identified by the lower halves of their hashes; a collision costs one wrong guess. A
+// restarted target has a new hash, so that its empty cache is not confused with the old one.
 type Table struct {
 	cfg   Config
 	parts map[uint32][]holder
@@ -64,26 +64,26 @@
 // NewTable returns an empty table.
 func NewTable(cfg Config) *Table { return &Table{cfg: cfg, parts: make(map[uint32][]holder)} }
 
-// Use is one part's use at a target, as nodes tell it each other.
+// Use is one use of a part at a target, as exchanged between nodes.
 type Use struct {
 	_      struct{} `cbor:",toarray"`
 	Part   uint32
 	Target uint32
 }
 
-// Sent records that this node sent the part to the target. It returns true if
-// the others are to be told.
+// Sent records that this node sent the part to the target. It returns true if the use is due
+// to be reported to the other nodes.
 func (t *Table) Sent(part uint64, target uint32, now time.Time) bool {
 	h := t.touch(uint32(part), target, now)
-	if now.Sub(h.told) < t.cfg.Refresh {
+	if now.Sub(h.reported) < t.cfg.Refresh {
 		return false
 	}
-	h.told = now
+	h.reported = now
 	return true
 }
 
-// Heard records a use that another node told of.
-func (t *Table) Heard(u Use, now time.Time) { t.touch(u.Part, u.Target, now).told = now }
+// Heard records a use that another node reported.
+func (t *Table) Heard(u Use, now time.Time) { t.touch(u.Part, u.Target, now).reported = now }
 
 func (t *Table) touch(part, target uint32, now time.Time) *holder {
 	list := t.parts[part]
@@ -114,11 +114,11 @@
 	return slices.Delete(list, oldest, oldest+1)
 }
 
-// Expire forgets what was not used lately. If that leaves too many parts, it
-// forgets all: the memory is rebuilt within seconds.
+// Expire removes holders that were not used for TTL. If too many parts remain, it clears
+// the table, which is rebuilt within seconds.
 func (t *Table) Expire(now time.Time) {
 	for part, list := range t.parts {
-		list = slices.DeleteFunc(list, func(h holder) bool { return now.Sub(h.used) >= t.cfg.Keep })
+		list = slices.DeleteFunc(list, func(h holder) bool { return now.Sub(h.used) >= t.cfg.TTL })
 		if len(list) == 0 {
 			delete(t.parts, part)
 			continue
@@ -130,11 +130,11 @@
 	}
 }
 
-// Holding is what a target keeps of a prompt.
+// Holding is the part of a prompt that a target caches.
 type Holding struct {
-	// Tokens are those of the leading parts that the target was sent.
+	// Tokens is the number of tokens in the leading parts that were sent to the target.
 	Tokens int
-	// Settled says that it was sent them long enough ago to have read them.
+	// Settled reports that they were sent long enough ago for the prefill to be finished.
 	Settled bool
 }
 
@@ -155,9 +155,9 @@
 	return out
 }
 
-// Kept returns what each target keeps of a prompt. Targets that keep nothing
-// are left out. A target that was sent a part was sent those before it too, so
-// that one part with more holders than the table remembers hides no other.
+// Kept returns what each target caches of a prompt. Targets that cache nothing are left
+// out. A target that was sent a part was also sent the parts before it, so a part with more
+// holders than are recorded does not hide the holders of later parts.
 func (t *Table) Kept(parts []Part, now time.Time) map[uint32]Holding {
 	kept := make(map[uint32]Holding)
 	sum := 0
@@ -166,7 +166,7 @@
 	}
 	for i := len(parts) - 1; i >= 0; i-- {
 		for _, h := range t.parts[uint32(parts[i].Hash)] {
-			if _, more := kept[h.target]; more || now.Sub(h.used) >= t.cfg.Keep {
+			if _, more := kept[h.target]; more || now.Sub(h.used) >= t.cfg.TTL {
 				continue
 			}
 			kept[h.target] = Holding{Tokens: sum, Settled: now.Sub(h.first) >= t.cfg.Settle}
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -8,8 +8,8 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	chain = []Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 10_000}}
+	start  = time.Unix(1000, 0)
+	prompt = []Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 10_000}}
 )
 
 func TestKeptCountsLeadingParts(t *testing.T) {
@@ -17,14 +17,14 @@
 	table.Sent(1, 7, start)
 	table.Sent(2, 7, start)
 	table.Sent(1, 8, start)
-	is.Equal(table.Kept(chain, start), map[uint32]Holding{7: {Tokens: 10_500}, 8: {Tokens: 500}})
+	is.Equal(table.Kept(prompt, start), map[uint32]Holding{7: {Tokens: 10_500}, 8: {Tokens: 500}})
 	is.Equal(table.Kept(nil, start), map[uint32]Holding{})
 	later := start.Add(DefaultConfig().Settle)
-	is.Equal(table.Kept(chain, later)[7], Holding{Tokens: 10_500, Settled: true})
+	is.Equal(table.Kept(prompt, later)[7], Holding{Tokens: 10_500, Settled: true})
 }
 
-// A first part that all prompts share has more holders than are remembered.
-// That hides none of the later parts.
+// A first part that all prompts share has more holders than are recorded. The holders of the
+// later parts are still found.
 func TestCommonPartHidesNoOther(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
@@ -33,21 +33,21 @@
 	for i := range uint32(2 * cfg.MaxHolders) {
 		table.Sent(1, 100+i, start.Add(time.Second))
 	}
-	is.Equal(table.Kept(chain, start.Add(time.Second))[7].Tokens, 10_500)
+	is.Equal(table.Kept(prompt, start.Add(time.Second))[7].Tokens, 10_500)
 }
 
-func TestPartsAreForgottenWhenUnused(t *testing.T) {
+func TestUnusedPartsExpire(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
 	table.Sent(1, 7, start)
-	is.Equal(len(table.Kept(chain, start.Add(cfg.Keep-1))), 1)
-	is.Equal(len(table.Kept(chain, start.Add(cfg.Keep))), 0)
-	table.Expire(start.Add(cfg.Keep))
+	is.Equal(len(table.Kept(prompt, start.Add(cfg.TTL-1))), 1)
+	is.Equal(len(table.Kept(prompt, start.Add(cfg.TTL))), 0)
+	table.Expire(start.Add(cfg.TTL))
 	is.Equal(len(table.parts), 0)
 }
 
-// Others are told of a use once, and again only after a while.
-func TestUsesAreToldSeldom(t *testing.T) {
+// A use is reported to the other nodes once, and again only after the refresh interval.
+func TestUsesAreReportedAtIntervals(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
 	is.True(table.Sent(1, 7, start))
@@ -60,11 +60,11 @@
 
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
-	table := NewTable(Config{Keep: time.Minute, Settle: time.Second, InUse: time.Second, MaxHolders: 2, MaxParts: 3, Refresh: time.Second})
+	table := NewTable(Config{TTL: time.Minute, Settle: time.Second, InUse: time.Second, MaxHolders: 2, MaxParts: 3, Refresh: time.Second})
 	for i := range uint32(5) {
 		table.Heard(Use{Part: 1, Target: i}, start.Add(time.Duration(i)))
 	}
-	kept := table.Kept(chain[:1], start)
+	kept := table.Kept(prompt[:1], start)
 	is.Equal(len(kept), 2)
 	is.True(kept[3].Tokens == 500 && kept[4].Tokens == 500)
 	for i := range uint32(50) {
@@ -81,11 +81,11 @@
 	table.Sent(1, 7, later)
 	table.Sent(2, 7, later)
 	uses := table.Recent(later, 10)
-	is.Equal(len(uses), 2) // what is no longer in use is left out
+	is.Equal(len(uses), 2) // uses older than InUse are left out
 	is.Equal(len(table.Recent(later, 1)), 1)
 	restored := NewTable(cfg)
 	for _, u := range uses {
 		restored.Heard(u, later)
 	}
-	is.Equal(restored.Kept(chain, later), table.Kept(chain, later))
+	is.Equal(restored.Kept(prompt, later), table.Kept(prompt, later))
 }
