--- a/health/fleet_test.go
+++ b/health/fleet_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// seen is what a node has seen of each target within the window.
-type seen [][]Counts
+// observations holds what each node has counted of each target within the window.
+type observations [][]Counts
 
-// sums returns what all nodes tell together: of each target what those nodes saw
-// that saw it fail, and of the service all.
-func (s seen) sums(targets int) (each []Counts, service Counts) {
+// sums returns what the nodes report in total: for each target the counts of the nodes that
+// saw it fail, and for the service the counts of all nodes.
+func (s observations) sums(targets int) (each []Counts, service Counts) {
 	each = make([]Counts, targets)
 	for _, node := range s {
 		for i, c := range node {
@@ -26,10 +26,9 @@
 	return each, service
 }
 
-// draw has each of the nodes send requests to targets at random, which fail at
-// the given rates.
-func draw(rng *rand.Rand, nodes, requests int, rates []float64) seen {
-	out := make(seen, nodes)
+// simulate sends requests from random nodes to random targets, which fail at the given rates.
+func simulate(rng *rand.Rand, nodes, requests int, rates []float64) observations {
+	out := make(observations, nodes)
 	for n := range out {
 		out[n] = make([]Counts, len(rates))
 	}
@@ -45,13 +44,12 @@
 	return out
 }
 
-// suspended returns how many of the targets are suspended in the given number of
-// windows.
+// suspended returns in how many of the given number of windows each target is suspended.
 func suspended(windows, nodes, requests int, rates []float64) []int {
 	rng, cfg, now := rand.New(rand.NewPCG(1, 2)), DefaultConfig(), time.Unix(1000, 0)
 	out := make([]int, len(rates))
 	for range windows {
-		each, service := draw(rng, nodes, requests, rates).sums(len(rates))
+		each, service := simulate(rng, nodes, requests, rates).sums(len(rates))
 		Attribute(each, len(each), service)
 		for i, c := range each {
 			if (&State{}).Judge(cfg, c, service, now) {
@@ -70,22 +68,22 @@
 	return n
 }
 
-// A service of which one request in twenty fails by its nature, before 73 nodes of
-// which each sends a target one request in two windows: nobody is suspended.
-func TestChanceFailuresSeenByManyNodes(t *testing.T) {
+// Of a service whose every twentieth request fails for reasons of its own, observed by 73
+// nodes, each of which sends a target one request in two windows, no target is suspended.
+func TestRandomFailuresSeenByManyNodesSuspendNone(t *testing.T) {
 	rates := []float64{0.05, 0.05, 0.05, 0.05, 0.05, 0.05}
 	is.New(t).True(total(suspended(1000, 73, 570, rates)) <= 3)
 }
 
-// One target that fails two in five requests stands out all the same.
-func TestBadTargetStandsOutForManyNodes(t *testing.T) {
+// One target that fails two in five requests is suspended under the same conditions.
+func TestFailingTargetIsSuspendedByManyNodes(t *testing.T) {
 	rates := []float64{0.05, 0.05, 0.4, 0.05, 0.05, 0.05}
 	got := suspended(200, 73, 570, rates)
 	is.New(t).True(got[2] >= 198)
 	is.New(t).True(total(got)-got[2] <= 3)
 }
 
-// With few nodes or large shares nothing is left to attribute.
+// With few nodes or large shares there are no answers left to attribute.
 func TestAttribute(t *testing.T) {
 	is := is.New(t)
 	each := []Counts{{Answered: 10}, {Answered: 4, Failed: 2}}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -27,15 +27,15 @@
 	is.True(!s.Suspended(start.Add(3 * cfg.FirstTrial)))
 }
 
-func TestFailuresThatStandOutSuspend(t *testing.T) {
+func TestSignificantFailuresSuspend(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		fleet, service Counts
 		want           bool
 	}{
 		{"healthy", Counts{20, 0}, Counts{360, 0}, false},
-		{"one failure is chance", Counts{3, 1}, Counts{360, 1}, false},
-		{"two of five may be chance", Counts{3, 2}, Counts{360, 2}, false},
+		{"one failure is random", Counts{3, 1}, Counts{360, 1}, false},
+		{"two of five may be random", Counts{3, 2}, Counts{360, 2}, false},
 		{"three of ten", Counts{7, 3}, Counts{360, 3}, true},
 		{"four of twenty while others fail too", Counts{16, 4}, Counts{100, 7}, false},
 		{"as bad as its service", Counts{17, 3}, Counts{170, 30}, false},
@@ -46,7 +46,7 @@
 			var s State
 			is.New(t).Equal(s.Judge(cfg, tt.fleet, tt.service, start), tt.want)
 			is.New(t).Equal(s.Suspended(start), tt.want)
-			is.New(t).True(!s.Suspended(start.Add(cfg.Hold)))
+			is.New(t).True(!s.Suspended(start.Add(cfg.SuspendFor)))
 		})
 	}
 }
