--- a/routing/assign_test.go
+++ b/routing/assign_test.go
@@ -30,7 +30,7 @@
 	is.New(t).Equal(Assign([]uint64{1, 2}, nil), nil)
 }
 
-// When one node of a region goes, its duties move and few others.
+// When one node of a region is removed, its duties move and few others.
 func TestAssignMovesLittle(t *testing.T) {
 	for _, tt := range []struct{ duties, nodes int }{{53, 53}, {212, 53}, {4, 8}, {16, 8}} {
 		t.Run(fmt.Sprint(tt.duties, "on", tt.nodes), func(t *testing.T) {
@@ -45,7 +45,7 @@
 					}
 				}
 			}
-			// Over all removals each duty is once on the node that goes.
+			// Over all removals, each duty is on the removed node once.
 			is.New(t).True(moved <= 2*tt.duties)
 		})
 	}
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -1,19 +1,19 @@
-// Package routing ranks targets for a chat. It is pure: no clock, no I/O.
+// Package routing ranks targets for a chat, and assigns duties to nodes, by rendezvous hashing.
+// It is pure: no clock, no I/O.
 package routing
 
 import "github.com/cespare/xxhash/v2"
 
-// Hash maps a name to the 64-bit key used for ranking.
+// Hash returns the 64-bit hash of a name that ranking uses.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Score is the rendezvous (highest random weight) score of a target for a
-// chat. Every node computes the same score (Thaler and Ravishankar, 1998).
+// Score is the rendezvous (highest random weight) score of a target for a chat, the same on
+// every node (Thaler and Ravishankar, 1998).
 func Score(chat, target uint64) uint64 {
 	return Rank(chat, Key(target))
 }
 
-// Key prepares a target's hash for Rank, so that it is mixed once and not for
-// each chat.
+// Key prepares a target's hash for Rank, so that it is mixed once instead of for each chat.
 func Key(target uint64) uint64 { return mix(target) }
 
 // Rank is Score for a target prepared by Key.
@@ -29,9 +29,8 @@
 	return x
 }
 
-// Top appends to dst the indexes of the n highest-ranked targets for a chat,
-// best first. It scans all targets once and allocates only if dst is too
-// small.
+// Top appends to dst the indexes of the n highest-ranked targets for a chat, highest first. It
+// scans all targets once and allocates only if dst is too small.
 func Top(dst []int, chat uint64, targets []uint64, n int) []int {
 	base := len(dst)
 	for i, t := range targets {
@@ -52,9 +51,8 @@
 	return dst
 }
 
-// Best returns the index of the highest-ranked target for a chat among keys
-// made by Key, or -1 if there are none. It is Top for one target, for callers
-// that keep the keys.
+// Best returns the index of the highest-ranked target for a chat among keys made by Key, or -1
+// if there are none. It equals Top with n = 1, for callers that store the keys.
 func Best(chat uint64, keys []uint64) int {
 	best, bestRank := -1, uint64(0)
 	for i, k := range keys {
