--- a/retry/budget.go
+++ b/retry/budget.go
@@ -8,14 +8,14 @@
 
 // BudgetConfig sets how many retries a node may add to its requests.
 type BudgetConfig struct {
-	// Share is the number of retries earned by each request. As every node
-	// has the same share, the whole fleet's load grows by that share at most,
-	// whatever the number of nodes.
+	// Share is the number of retries credited for each request. As every node has the same
+	// share, retries increase the whole fleet's load by at most that share, whatever the
+	// number of nodes.
 	Share float64
-	// Floor is the number of retries a second earned without any request,
-	// for nodes that are nearly idle.
+	// Floor is the number of retries credited a second without any request, for nodes that are
+	// nearly idle.
 	Floor float64
-	// Burst is the most retries that can be saved up.
+	// Burst is the maximum number of retries that can accumulate.
 	Burst float64
 }
 
@@ -33,19 +33,19 @@
 	return &Budget{cfg: cfg, tokens: cfg.Burst, last: now}
 }
 
-// Request earns the share of one request. Call it once a request, not for
+// Request credits the share of one request. It must be called once for a request and not for
 // its retries.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earn(now, b.cfg.Share)
+	b.credit(now, b.cfg.Share)
 }
 
-// Take uses one retry; it returns false if there is none.
+// Take uses one retry. It returns false if there is none.
 func (b *Budget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earn(now, 0)
+	b.credit(now, 0)
 	if b.tokens < 1 {
 		return false
 	}
@@ -53,7 +53,7 @@
 	return true
 }
 
-func (b *Budget) earn(now time.Time, tokens float64) {
+func (b *Budget) credit(now time.Time, tokens float64) {
 	idle := now.Sub(b.last).Seconds()
 	if idle > 0 {
 		tokens += idle * b.cfg.Floor
@@ -64,12 +64,12 @@
 
 // Backoff sets the pause before a retry.
 type Backoff struct {
-	Base time.Duration // upper end of the first pause
-	Max  time.Duration // upper end of every pause
+	Base time.Duration // upper limit of the first pause
+	Max  time.Duration // upper limit of every pause
 }
 
-// Pause returns a random time from 0 to Base doubled for each attempt after
-// the first, at most Max (full jitter). attempt is 1 for the first failure.
+// Pause returns a random time between 0 and Base, where Base is doubled for each attempt after
+// the first, up to Max (full jitter). attempt is 1 for the first failure.
 func (b Backoff) Pause(attempt int, rng *rand.Rand) time.Duration {
 	upper := b.Base
 	for range attempt - 1 {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed attempt may be tried again. The
-// decision is pure: the caller passes what it knows.
+// Package retry decides whether a failed attempt may be retried. The decision is a pure
+// function of its arguments.
 package retry
 
 import (
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Progress says how far an attempt got before it failed.
+// Progress is how far an attempt got before it failed.
 type Progress int
 
-// How far an attempt got, least first.
+// The values of Progress, in ascending order.
 const (
 	// NotSent means that no byte of the request reached the target.
 	NotSent Progress = iota
-	// Refused means that the target said it did not run the request.
+	// Refused means that the target reported that it did not run the request.
 	Refused
 	// Sent means that the target may have run the request.
 	Sent
-	// Delivered means that part of the answer reached the caller.
+	// Delivered means that part of the response reached the caller.
 	Delivered
 )
 
@@ -36,33 +36,31 @@
 // Limits bound the attempts of one request.
 type Limits struct {
 	MaxAttempts int
-	// MinRemaining is the least time worth another attempt.
+	// MinRemaining is the minimum remaining time for another attempt.
 	MinRemaining time.Duration
 }
 
-// Verdict says whether to try again and, if not, why.
+// Verdict is the decision on a retry and, if it is denied, the reason.
 type Verdict int
 
 // The verdicts.
 const (
 	// Again allows another attempt.
 	Again Verdict = iota
-	// NotRepeatable means that the target may have run a request that must
-	// not run twice.
+	// NotRepeatable means that the target may have run a request that must not run twice.
 	NotRepeatable
-	// AlreadyDelivered means that part of the answer is with the caller.
+	// AlreadyDelivered means that part of the response has reached the caller.
 	AlreadyDelivered
-	// AttemptsUsed means that the cap on attempts is reached.
+	// AttemptsUsed means that the maximum number of attempts is reached.
 	AttemptsUsed
-	// DeadlineNear means that too little time remains.
+	// DeadlineNear means that too little time remains before the deadline.
 	DeadlineNear
 	// BudgetEmpty means that the node's retry budget is used up.
 	BudgetEmpty
 )
 
-// Decide says whether another attempt does no harm, the budget aside. Harm to
-// the request is checked before the limits, so that the verdict names the
-// stronger reason.
+// Decide reports whether another attempt is safe and within the limits; the caller checks the
+// budget. Safety is checked before the limits, so that the verdict gives the stronger reason.
 func Decide(a Attempt, l Limits) Verdict {
 	switch {
 	case a.Progress >= Delivered:
@@ -78,7 +76,6 @@
 	}
 }
 
-// Charged says whether a retry after p draws on the budget. An attempt that
-// never reached a target put no load on it, so that it is bounded by the cap
-// on attempts alone.
+// Charged reports whether a retry after p draws on the budget. An attempt that never reached a
+// target put no load on it, so only the maximum number of attempts limits such retries.
 func Charged(p Progress) bool { return p != NotSent }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// A request that may not be repeated is never tried again once it may have
-// been run, and nothing is tried again once part of the answer is delivered.
-func TestDecideNeverHarms(t *testing.T) {
+// A request that may not be repeated is never retried once it may have run, and no request is
+// retried once part of the response is delivered.
+func TestDecideNeverRepeatsUnsafely(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Attempt{
 			Number:     rapid.IntRange(1, 9).Draw(t, "number"),
@@ -58,16 +58,16 @@
 		if Decide(a, l) != Again {
 			return
 		}
-		harm := a.Progress == Delivered || a.Progress == Sent && !a.Repeatable
+		unsafeRetry := a.Progress == Delivered || a.Progress == Sent && !a.Repeatable
 		over := a.Number >= l.MaxAttempts || a.Remaining < l.MinRemaining
-		if harm || over {
+		if unsafeRetry || over {
 			t.Fatalf("allowed %+v under %+v", a, l)
 		}
 	})
 }
 
-// Whatever the order of requests and retries, the retries granted stay within
-// the burst, the share of the requests and the floor.
+// For any order of requests and retries, the retries granted stay within the burst, the share of
+// the requests and the floor.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := BudgetConfig{
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// WindowConfig bounds the retries of a whole fleet to one service: within any
-// Window, Share of the requests + Slack.
+// WindowConfig bounds the retries of a whole fleet to one service: within any Window to Share
+// of the requests + Slack.
 type WindowConfig struct {
 	Share  float64
 	Slack  float64
 	Window time.Duration
-	// Reserve is the part of the bound that is left unused, for nodes that
-	// restart and forget what they used and for nodes whose views differ.
+	// Reserve is the part of the bound that is left unused, for nodes that lose their counts in
+	// a restart and for nodes whose views of the fleet differ.
 	Reserve float64
-	// MinNodes is the number of nodes that a node assumes at least until it has
-	// run for a whole Window, since it may not have heard all yet.
+	// MinNodes is the minimum number of nodes that a node assumes until it has run for a whole
+	// Window, since it may not have received heartbeats from all nodes yet.
 	MinNodes int
 }
 
 // windowBuckets is the number of parts of a window.
 const windowBuckets = 10
 
-// Window keeps this node's part of the fleet's bound without asking others:
-// its own requests earn Share each, and of Slack it takes an equal part for
-// each live node. It answers bursts of failures: engines that crash under load
-// and refuse or reset all at once. It is safe for concurrent use.
+// Window limits this node to its part of the fleet's bound without communication: each of its
+// own requests is credited with Share, and of Slack it gets an equal part for each live node.
+// It limits retries in bursts of failures, such as those of engines that crash under load and
+// refuse or reset all connections at once. It is safe for concurrent use.
 type Window struct {
-	cfg   WindowConfig
-	began time.Time
+	cfg     WindowConfig
+	started time.Time
 
 	mu       sync.Mutex
 	slot     int64
 	requests [windowBuckets]int
 	retries  [windowBuckets]int
-	nodes    [windowBuckets]int // most live nodes seen
+	nodes    [windowBuckets]int // maximum number of live nodes
 }
 
 // NewWindow returns an unused window.
-func NewWindow(cfg WindowConfig, now time.Time) *Window { return &Window{cfg: cfg, began: now} }
+func NewWindow(cfg WindowConfig, now time.Time) *Window { return &Window{cfg: cfg, started: now} }
 
 // Request counts a caller's request to the service.
 func (w *Window) Request(now time.Time) {
@@ -48,24 +48,24 @@
 	w.requests[w.slot%windowBuckets]++
 }
 
-// Take uses one retry; it returns false if there is none. nodes is the number
-// of live nodes, this one included.
+// Take uses one retry. It returns false if there is none. nodes is the number of live nodes,
+// this one included.
 func (w *Window) Take(now time.Time, nodes int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.roll(now)
-	if now.Sub(w.began) < w.cfg.Window {
+	if now.Sub(w.started) < w.cfg.Window {
 		nodes = max(nodes, w.cfg.MinNodes)
 	}
 	at := w.slot % windowBuckets
 	w.nodes[at] = max(w.nodes[at], nodes)
-	requests, retries, most := 0, 0, 1
+	requests, retries, maxNodes := 0, 0, 1
 	for i := range windowBuckets {
 		requests += w.requests[i]
 		retries += w.retries[i]
-		most = max(most, w.nodes[i])
+		maxNodes = max(maxNodes, w.nodes[i])
 	}
-	bound := (w.cfg.Share*float64(requests) + w.cfg.Slack/float64(most)) * (1 - w.cfg.Reserve)
+	bound := (w.cfg.Share*float64(requests) + w.cfg.Slack/float64(maxNodes)) * (1 - w.cfg.Reserve)
 	if float64(retries+1) > bound {
 		return false
 	}
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,10 +10,10 @@
 
 var fleetBound = WindowConfig{Share: 0.2, Slack: 54, Window: 10 * time.Second, Reserve: 0.2, MinNodes: 8}
 
-// Whatever the order of requests and retries on each node, the retries of all
-// nodes within any window stay within the fleet's bound, with the requests
-// counted in that window and in the one before it.
-func TestWindowsOfAllNodesKeepTheBound(t *testing.T) {
+// For any order of requests and retries on each node, the retries of all nodes within any window
+// stay within the fleet's bound, with the requests counted in that window and in the one before
+// it.
+func TestWindowsOfAllNodesStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 8).Draw(t, "nodes")
 		start := time.Unix(1000, 0)
@@ -54,9 +54,9 @@
 	return n
 }
 
-// A node that has just begun takes no more of the slack than its part in a
-// fleet that it has not heard yet.
-func TestNewNodeAssumesOthers(t *testing.T) {
+// A node that has just started takes no more of the slack than its part in a fleet of MinNodes,
+// since it has not received heartbeats from the other nodes yet.
+func TestNewNodeAssumesMinNodes(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	w := NewWindow(fleetBound, start)
