--- a/notice/book.go
+++ b/notice/book.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Run names one run of a target. What a run has said is nothing to a later one under the
-// same ID, but for what Succeed hands on.
+// Run identifies one run of a target. A notice doesn't apply to a later run under the same ID,
+// except for what Succeed transfers.
 type Run struct {
 	Target string
-	// Incarnation tells the runs of a target apart, 0 if nothing does.
+	// Incarnation distinguishes the runs of a target, 0 if it is not available.
 	Incarnation int64
 }
 
-// DefaultRuns bounds the runs that a Book keeps, about 100 bytes each. At some hundred
-// ends of targets a day it is weeks.
+// DefaultRuns bounds the runs that a Book stores, about 100 bytes each. At some hundred target
+// shutdowns a day, it is reached after weeks.
 const DefaultRuns = 16384
 
-// Book keeps what runs have said, also while no entry or list shows them: a run that leaves
-// may come back in an older copy of either. One goroutine at a time may use it.
+// Book stores the notices of runs, also while no entry or target list contains the run: a run
+// that shuts down may reappear in an older copy of either. It is not safe for concurrent use.
 type Book struct {
-	most   int
-	states map[Run]*State
-	order  []Run // in the order in which they were first heard
-	// restsUntil is the end of the last rest that any run has asked for.
+	maxRuns int
+	states  map[Run]*State
+	order   []Run // in the order of their first notice
+	// restsUntil is the latest end of a Retry-After period that any run has requested.
 	restsUntil time.Time
 }
 
 // NewBook returns an empty book for the given number of runs.
-func NewBook(most int) *Book {
-	return &Book{most: most, states: make(map[Run]*State)}
+func NewBook(maxRuns int) *Book {
+	return &Book{maxRuns: maxRuns, states: make(map[Run]*State)}
 }
 
-// State returns what a run has said, nil for nothing.
+// State returns the notices of a run so far, nil if there are none.
 func (b *Book) State(r Run) *State { return b.states[r] }
 
-// Hear takes a notice of a run.
+// Hear records a notice of a run.
 func (b *Book) Hear(r Run, n Notice, now time.Time, rng *rand.Rand) (*State, Change) {
-	s := b.enter(r)
+	s := b.getOrCreate(r)
 	change := s.Hear(n, now, rng)
 	if s.restUntil.After(b.restsUntil) {
 		b.restsUntil = s.restUntil
@@ -45,17 +45,18 @@
 	return s, change
 }
 
-// Succeed is told of a later run under the ID of an earlier one as that becomes known.
+// Succeed transfers a Retry-After period from an earlier run to a later one under the same ID.
+// It must be called when the later run becomes known.
 func (b *Book) Succeed(earlier, later Run, now time.Time) {
-	past := b.states[earlier]
-	if !past.Rests(now) || b.states[later] != nil {
+	previous := b.states[earlier]
+	if !previous.Rests(now) || b.states[later] != nil {
 		return
 	}
-	b.enter(later).succeed(past, now)
+	b.getOrCreate(later).inheritRest(previous, now)
 }
 
-// enter returns the state of a run, a new one if there is none.
-func (b *Book) enter(r Run) *State {
+// getOrCreate returns the state of a run, a new one if there is none.
+func (b *Book) getOrCreate(r Run) *State {
 	if s, ok := b.states[r]; ok {
 		return s
 	}
@@ -66,12 +67,12 @@
 	return s
 }
 
-// Resting says whether any run rests at now.
+// Resting reports whether any run is in a Retry-After period at now.
 func (b *Book) Resting(now time.Time) bool { return now.Before(b.restsUntil) }
 
-// evict makes room for one run, at the cost of the one heard of first.
+// evict removes the run with the oldest first notice if the book is full.
 func (b *Book) evict() {
-	if len(b.order) < b.most {
+	if len(b.order) < b.maxRuns {
 		return
 	}
 	delete(b.states, b.order[0])
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice keeps what targets say of themselves in their answers: that they leave,
-// and that they want no requests from this node for a while. It is pure: the caller
-// passes the time and the random source.
+// Package notice records what targets announce in their responses: that they are shutting down,
+// and that they want no requests from this node for a while (Retry-After). The latter is called
+// a rest. The package is pure: the caller passes the time and the random source.
 package notice
 
 import (
@@ -8,83 +8,83 @@
 	"time"
 )
 
-// Notice is what one answer says of the target that gave it. The zero Notice says
-// nothing.
+// Notice is the announcement in one response of a target. The zero Notice announces nothing.
 type Notice struct {
-	// Leaving means that the target is about to stop.
+	// Leaving means that the target is about to shut down.
 	Leaving bool
-	// Rest is how long the target wants no requests from this node, 0 for no wish.
+	// Rest is how long the target wants no requests from this node, 0 if it requested none.
 	Rest time.Duration
-	// Unreadable is a Retry-After that says no time, empty for none.
+	// Unreadable is a Retry-After value that gives no time, empty if there is none.
 	Unreadable string
 }
 
 const (
-	// restSpread is the largest part of a rest by which it is lengthened at random, up
-	// to maxSpread, so that nodes which were turned away together return apart.
-	restSpread = 0.1
-	maxSpread  = 500 * time.Millisecond
+	// jitterShare is the maximum share of a rest by which it is prolonged at random, up to
+	// maxJitter, so that nodes which were rejected together don't return together.
+	jitterShare = 0.1
+	maxJitter   = 500 * time.Millisecond
 )
 
-// State is what one run of a target has said so far. The zero State says nothing.
+// State holds the notices of one run of a target so far. The zero State holds none.
 type State struct {
-	leaving    bool
-	restUntil  time.Time
-	restHeard  time.Time // when that rest was asked for
-	unreadable bool
+	leaving       bool
+	restUntil     time.Time
+	restRequested time.Time // when that rest was requested
+	unreadable    bool
 }
 
-// startNews is how long a node may send to a run before it knows of its start: some
-// heartbeats of a target, and the time in which it comes back after an outage of the store.
-const startNews = 5 * time.Second
+// maxStartLag is how long a node may send to a run before it has learned of its start: several
+// heartbeats of a target, and the time in which it returns after an outage of the store.
+const maxStartLag = 5 * time.Second
 
-// succeed takes a rest that may have been asked for by a later run under the same ID, of
-// whose start the node didn't know. A longer one is asked for again.
-func (s *State) succeed(earlier *State, now time.Time) {
-	if now.Sub(earlier.restHeard) >= startNews {
+// inheritRest takes over a rest recorded for the earlier run that the later run under the same
+// ID may have requested, before this node learned of its start. The rest is limited to
+// maxStartLag; the target requests a longer one again.
+func (s *State) inheritRest(earlier *State, now time.Time) {
+	if now.Sub(earlier.restRequested) >= maxStartLag {
 		return
 	}
-	s.restUntil, s.restHeard = earlier.restUntil, earlier.restHeard
-	if most := now.Add(startNews); s.restUntil.After(most) {
-		s.restUntil = most
+	s.restUntil, s.restRequested = earlier.restUntil, earlier.restRequested
+	if latest := now.Add(maxStartLag); s.restUntil.After(latest) {
+		s.restUntil = latest
 	}
 }
 
-// Change is what a notice adds to what was known.
+// Change is what a notice adds to the state of its run.
 type Change struct {
-	// Leaves: the target was not known to leave. Rests: its rest ends later than known.
-	// Unreadable: it had not sent an unreadable Retry-After before.
-	Leaves, Rests, Unreadable bool
+	// NewlyLeaving: the target was not known to be shutting down. RestExtended: its rest ends
+	// later than before. FirstUnreadable: it had not sent an unreadable Retry-After before.
+	NewlyLeaving, RestExtended, FirstUnreadable bool
 }
 
-// Hear takes a notice. A run that leaves never comes back, and a shorter rest doesn't
-// end a longer one: answers may overtake each other.
+// Hear records a notice. A shutdown is never revoked, and a shorter rest doesn't end a longer
+// one, since responses may arrive out of order.
 func (s *State) Hear(n Notice, now time.Time, rng *rand.Rand) Change {
 	var c Change
 	if n.Leaving && !s.leaving {
-		s.leaving, c.Leaves = true, true
+		s.leaving, c.NewlyLeaving = true, true
 	}
-	if until := now.Add(n.Rest + spread(n.Rest, rng)); n.Rest > 0 && until.After(s.restUntil) {
-		s.restUntil, s.restHeard, c.Rests = until, now, true
+	if until := now.Add(n.Rest + jitter(n.Rest, rng)); n.Rest > 0 && until.After(s.restUntil) {
+		s.restUntil, s.restRequested, c.RestExtended = until, now, true
 	}
 	if n.Unreadable != "" && !s.unreadable {
-		s.unreadable, c.Unreadable = true, true
+		s.unreadable, c.FirstUnreadable = true, true
 	}
 	return c
 }
 
-func spread(rest time.Duration, rng *rand.Rand) time.Duration {
-	most := min(time.Duration(restSpread*float64(rest)), maxSpread)
-	return time.Duration(rng.Float64() * float64(most))
+func jitter(rest time.Duration, rng *rand.Rand) time.Duration {
+	limit := min(time.Duration(jitterShare*float64(rest)), maxJitter)
+	return time.Duration(rng.Float64() * float64(limit))
 }
 
-// Leaving says whether the run has said that it leaves.
+// Leaving reports whether the run has announced its shutdown.
 func (s *State) Leaving() bool { return s != nil && s.leaving }
 
-// Rests says whether the run has asked for no requests at now.
+// Rests reports whether the run wants no requests at now.
 func (s *State) Rests(now time.Time) bool { return s != nil && now.Before(s.restUntil) }
 
-// RestFor returns how much longer the run rests, 0 if it doesn't.
+// RestFor returns the remaining time of the run's rest, 0 if there is none.
 func (s *State) RestFor(now time.Time) time.Duration {
 	if !s.Rests(now) {
 		return 0
@@ -92,5 +92,5 @@
 	return s.restUntil.Sub(now)
 }
 
-// MaySend says whether a request may be sent to the run at now.
+// MaySend reports whether a request may be sent to the run at now.
 func (s *State) MaySend(now time.Time) bool { return !s.Leaving() && !s.Rests(now) }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -15,7 +15,7 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestRetryAfterOfA503IsARest(t *testing.T) {
+func TestRetryAfterOf503SetsRest(t *testing.T) {
 	is := is.New(t)
 	date := func(d time.Duration) string { return start.Add(d).UTC().Format(http.TimeFormat) }
 	tests := map[string]struct {
@@ -35,8 +35,8 @@
 		"negative":            {value: "-1", want: Notice{Unreadable: "-1"}},
 		"not a number":        {value: "NaN", want: Notice{Unreadable: "NaN"}},
 		"hexadecimal":         {value: "0x10", want: Notice{Unreadable: "0x10"}},
-		"long words":          {value: strings.Repeat("soon", 100), want: Notice{Unreadable: strings.Repeat("soon", maxShown/4)}},
-		"words":               {value: "soon", want: Notice{Unreadable: "soon"}},
+		"long text":           {value: strings.Repeat("soon", 100), want: Notice{Unreadable: strings.Repeat("soon", maxUnreadableBytes/4)}},
+		"text":                {value: "soon", want: Notice{Unreadable: "soon"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			h.Set("Retry-After", tt.value)
 			h.Set("Date", tt.date)
 			is.Equal(FromHeader(http.StatusServiceUnavailable, h, start), tt.want)
-			is.Equal(FromHeader(http.StatusTooManyRequests, h, start), Notice{}) // the caller's
+			is.Equal(FromHeader(http.StatusTooManyRequests, h, start), Notice{}) // meant for the caller
 		})
 	}
 	is.Equal(FromHeader(http.StatusServiceUnavailable, http.Header{}, start), Notice{})
@@ -55,24 +55,24 @@
 	is := is.New(t)
 	var s State
 	is.True(!s.Leaving())
-	is.Equal(s.Hear(Notice{Leaving: true, Rest: 3 * time.Second}, start, random()), Change{Leaves: true, Rests: true})
+	is.Equal(s.Hear(Notice{Leaving: true, Rest: 3 * time.Second}, start, random()), Change{NewlyLeaving: true, RestExtended: true})
 	is.Equal(s.Hear(Notice{Leaving: true, Rest: time.Second}, start, random()), Change{})
 	is.True(s.Rests(start.Add(3*time.Second - 1)))
-	is.True(!s.Rests(start.Add(3*time.Second + maxSpread)))
+	is.True(!s.Rests(start.Add(3*time.Second + maxJitter)))
 	s.Hear(Notice{}, start.Add(time.Hour), random())
 	is.True(s.Leaving())
 }
 
-func TestUnreadableIsNewsOnce(t *testing.T) {
+func TestUnreadableIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var s State
-	is.True(s.Hear(Notice{Unreadable: "soon"}, start, random()).Unreadable)
-	is.True(!s.Hear(Notice{Unreadable: "later"}, start, random()).Unreadable)
+	is.True(s.Hear(Notice{Unreadable: "soon"}, start, random()).FirstUnreadable)
+	is.True(!s.Hear(Notice{Unreadable: "later"}, start, random()).FirstUnreadable)
 	is.True(s.MaySend(start))
 }
 
-// In whatever order notices come, no rest ends before any of them asked, nor much later
-// than the longest.
+// For any order of notices, the rest ends no earlier than the latest end requested, and at most
+// maxJitter later.
 func TestRestIsTheLongestAskedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
@@ -87,13 +87,13 @@
 			}
 		}
 		until := now.Add(s.RestFor(now))
-		if until.Before(end) || s.Rests(now) && until.After(end.Add(maxSpread)) {
+		if until.Before(end) || s.Rests(now) && until.After(end.Add(maxJitter)) {
 			t.Fatalf("rests until %v, asked until %v", until, end)
 		}
 	})
 }
 
-func TestBookKeepsRunsApartAndIsBounded(t *testing.T) {
+func TestBookSeparatesRunsAndIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := NewBook(2)
 	old, later, other := Run{"a", 1}, Run{"a", 2}, Run{"b", 0}
@@ -103,7 +103,7 @@
 	b.Hear(later, Notice{Rest: time.Second}, start, random())
 	b.Hear(other, Notice{Leaving: true}, start, random())
 	is.Equal(len(b.states), 2)
-	is.True(!b.State(old).Leaving()) // forgotten
+	is.True(!b.State(old).Leaving()) // evicted
 	is.True(b.State(other).Leaving())
 	is.True(b.State(later).RestFor(start) >= time.Second)
 	is.True(b.Resting(start))
--- a/notice/report.go
+++ b/notice/report.go
@@ -6,36 +6,36 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ErrUnwanted means that a request was not sent to its target, since an answer of that came
-// meanwhile.
+// ErrUnwanted means that a request was not sent to its target, since a response of the target
+// with a notice arrived in the meantime.
 var ErrUnwanted = errors.New("the target has said meanwhile that it leaves or wants no requests for a while")
 
-// Help and Label are those of the counter of news.
+// Help and Label are those of the counter of notices.
 const (
 	Help  = "News that targets told of themselves in answers: that they leave, a rest that they ask for, a Retry-After that can't be read."
 	Label = "kind"
 )
 
-// Kinds of news, as the counter names them.
+// Label values of the counter of notices.
 const (
 	kindLeaving    = "leaving"
 	kindRest       = "rest"
 	kindUnreadable = "unreadable"
 )
 
-// Report logs what a notice has changed and counts it in news. l names the target and the
-// request.
-func Report(l *log.Logger, news *prometheus.CounterVec, n Notice, c Change) {
-	if c.Leaves {
-		news.WithLabelValues(kindLeaving).Inc()
-		l.Info("target says that it leaves")
+// Report logs the changes by a notice and counts them in notices. The fields of l identify the
+// target and the request.
+func Report(l *log.Logger, notices *prometheus.CounterVec, n Notice, c Change) {
+	if c.NewlyLeaving {
+		notices.WithLabelValues(kindLeaving).Inc()
+		l.Info("target announced its shutdown")
 	}
-	if c.Rests {
-		news.WithLabelValues(kindRest).Inc()
-		l.Info("target asks for rest", "rest_ms", n.Rest.Milliseconds())
+	if c.RestExtended {
+		notices.WithLabelValues(kindRest).Inc()
+		l.Info("target sent Retry-After", "rest_ms", n.Rest.Milliseconds())
 	}
-	if c.Unreadable {
-		news.WithLabelValues(kindUnreadable).Inc()
-		l.Warn("Retry-After of a target can't be read", "value", n.Unreadable)
+	if c.FirstUnreadable {
+		notices.WithLabelValues(kindUnreadable).Inc()
+		l.Warn("unreadable Retry-After from target", "value", n.Unreadable)
 	}
 }
--- a/notice/retryafter.go
+++ b/notice/retryafter.go
@@ -8,41 +8,40 @@
 	"time"
 )
 
-// maxRest bounds the rest that a target is granted. Longer ones, which no target can
-// mean, would run into the end of the time type.
+// maxRest bounds a rest. Longer ones, which no target can intend, could overflow the time type.
 const maxRest = 24 * time.Hour
 
-// maxShown bounds what is kept of a value that can't be read, in bytes.
-const maxShown = 64
+// maxUnreadableBytes bounds the part of an unreadable value that is stored.
+const maxUnreadableBytes = 64
 
 const headerRetryAfter = "Retry-After"
 
-// seconds are delay-seconds (RFC 9110, 10.2.3), here with a fraction too.
+// seconds matches delay-seconds (RFC 9110, 10.2.3), here also with a fraction.
 var seconds = regexp.MustCompile(`^[0-9]+(\.[0-9]+)?$`)
 
-// FromHeader returns the rest for which an answer asks: the Retry-After of a 503. In other
-// answers the header is meant for the caller.
+// FromHeader returns the rest that a response requests: the Retry-After of a 503. In other
+// responses the header is meant for the caller.
 func FromHeader(status int, h http.Header, now time.Time) Notice {
 	value := strings.TrimSpace(h.Get(headerRetryAfter))
 	if status != http.StatusServiceUnavailable || value == "" {
 		return Notice{}
 	}
 	if seconds.MatchString(value) {
-		return Notice{Rest: restOf(value)}
+		return Notice{Rest: parseSeconds(value)}
 	}
 	at, err := http.ParseTime(value)
 	if err != nil {
-		return Notice{Unreadable: value[:min(len(value), maxShown)]}
+		return Notice{Unreadable: value[:min(len(value), maxUnreadableBytes)]}
 	}
-	// By the target's own clock, if it tells that.
+	// The date is relative to the target's own clock if the response contains that.
 	if sent, err := http.ParseTime(h.Get("Date")); err == nil {
 		now = sent
 	}
 	return Notice{Rest: min(max(at.Sub(now), 0), maxRest)}
 }
 
-// restOf reads a number of seconds; one too large for a number is the longest rest.
-func restOf(value string) time.Duration {
+// parseSeconds parses a number of seconds. A number out of range gives maxRest.
+func parseSeconds(value string) time.Duration {
 	s, err := strconv.ParseFloat(value, 64)
 	if err != nil || s >= maxRest.Seconds() {
 		return maxRest
