--- /dev/null
+++ b/router/assignment.go
@@ -0,0 +1,152 @@
+package router
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/knapweedgw/knapweedgw/affinity"
+	"github.com/knapweedgw/knapweedgw/catalog"
+	"github.com/knapweedgw/knapweedgw/overload"
+	"github.com/knapweedgw/knapweedgw/placement"
+	"github.com/knapweedgw/knapweedgw/roster"
+)
+
+// assignment is one request's use of a target, from acquire to release.
+type assignment struct {
+	member  *member
+	choice  placement.Choice
+	target  *roster.Target
+	service string
+	since   time.Time
+	// queued says that the request probably waits for a slot.
+	queued bool
+}
+
+// criteria are a request's requirements on its target.
+type criteria struct {
+	service string
+	// parts are the shared ones of the request's prompt.
+	parts []affinity.Part
+	// tried are the targets to leave out, unless only names one.
+	tried []string
+	// only is the one target that may be taken, empty for any.
+	only string
+	// regions are those to whose targets the request may go.
+	regions catalog.Regions
+	// request is the input of the admission decision when the service is full.
+	request overload.Request
+}
+
+// excludes reports whether a target may not be picked.
+func (crit criteria) excludes(id string) bool {
+	if crit.only != "" {
+		return id != crit.only
+	}
+	return slices.Contains(crit.tried, id)
+}
+
+// key is the hash of the last part, 0 if there is none.
+func (crit criteria) key() uint64 {
+	if len(crit.parts) == 0 {
+		return 0
+	}
+	return crit.parts[len(crit.parts)-1].Hash
+}
+
+// acquire picks a target of a service and counts a request there. If the service is full, ok is
+// false and d is the decision that refused the request; if there is no target, ok is false and
+// d admits the request.
+func (p *pool) acquire(crit criteria) (a assignment, d overload.Decision, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	o := p.evaluate(crit, now)
+	load := o.load(p.fleet.Lives(), p.fleet.CountAge()/2) // the average age is half of the maximum
+	if d = p.gate(crit.service).Admit(crit.request, load, now); !d.Admitted() {
+		return assignment{}, d, false
+	}
+	req := placement.Request{FailureDomain: p.domain, Waiting: d.Waiting, Key: crit.key()}
+	for _, part := range crit.parts {
+		req.Shared += part.Tokens
+	}
+	c, ok := o.Pick(req, p.rng)
+	if !ok && !o.isComplete() {
+		c, ok = p.evaluateAll(crit, now).Pick(req, p.rng)
+	}
+	if !ok {
+		return assignment{}, d, false
+	}
+	m := p.members[c.Target.ID]
+	m.running++
+	m.markReportable()
+	if m.warmUp != nil {
+		m.warmUp.Send(now)
+	}
+	p.recordSentParts(crit.parts, c.Target, now)
+	return assignment{member: m, choice: c, target: c.Target, service: crit.service, since: now, queued: d.Queued()}, d, true
+}
+
+// hasOther reports whether another, reachable target may get the request.
+func (p *pool) hasOther(crit criteria) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	isReachable := func(c *placement.Candidate) bool { return !c.Unreachable }
+	return slices.ContainsFunc(p.evaluate(crit, p.now()).Eligible(), isReachable)
+}
+
+// noTargetReason returns why there is no target for a request. If targets are excluded for
+// different reasons, a temporary one (resting, cold) takes precedence over evacuation, and
+// evacuation over the region: the reported reason is the last that would have to end for the
+// request to have a target.
+func (p *pool) noTargetReason(crit criteria) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	why := errNoTarget
+	for _, c := range p.evaluateAll(crit, p.now()).All() {
+		switch {
+		case c.Draining || c.Leaving || c.Excluded:
+		case c.Resting && !c.Outside && !c.Evacuated:
+			return errResting
+		case c.Cold && !c.Outside && !c.Evacuated:
+			return errCold
+		case c.Evacuated && !c.Outside:
+			why = errEvacuated
+		case c.Outside && !errors.Is(why, errEvacuated):
+			why = errOutside
+		}
+	}
+	return why
+}
+
+// gate returns the admission gate of a service. The caller must hold p.mu.
+func (p *pool) gate(service string) *overload.Gate {
+	g, ok := p.gates[service]
+	if !ok {
+		g = overload.NewGate(overload.DefaultConfig(), p.rng)
+		p.gates[service] = g
+	}
+	return g
+}
+
+// retryAfter returns the Retry-After for a caller whose request found no target.
+func (p *pool) retryAfter(service string, remaining time.Duration) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.gate(service).RetryAfter(remaining, p.now())
+}
+
+// release ends a request's use of a target. Only answered requests contribute to the estimate
+// of how long a request occupies a slot: failed connections would make it too short.
+func (p *pool) release(a assignment, answered bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	a.member.running--
+	if answered {
+		p.gate(a.service).Answered(p.now().Sub(a.since), a.queued)
+	}
+	if a.member.gone && a.member.running == 0 {
+		a.member.closeIdle()
+	}
+}
--- a/router/lease_test.go
+++ b/router/assignment_test.go
@@ -9,7 +9,7 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// Another attempt needs a target that was not tried and may get work.
+// Another attempt needs a target that was not tried yet, accepts requests and is reachable.
 func TestTargetForAnotherAttempt(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -28,11 +28,11 @@
 				roster.Target{ID: "a", Service: service, Addr: "10.0.0.1:80", Hash: 1},
 				roster.Target{ID: "b", Service: service, Addr: "10.0.0.2:80", Hash: 2, Draining: tt.drains},
 			)
-			p.try = func(string) error { return nil }
+			p.dial = func(string) error { return nil }
 			if tt.unreachable {
 				p.observe(p.members["b"], health.Unreachable)
 			}
-			is.New(t).Equal(p.hasOther(want{service: service, tried: tt.tried}), tt.want)
+			is.New(t).Equal(p.hasOther(criteria{service: service, tried: tt.tried}), tt.want)
 		})
 	}
 }
--- a/router/conns.go
+++ b/router/conns.go
@@ -9,44 +9,43 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// A node that runs out of descriptors can neither take a connection, a readiness
-// check included, nor open one to a target, which then looks unreachable. Callers
-// that come back on a new connection each time, and leave the old one idle, get
-// it there within seconds of a surge.
+// A node without free file descriptors can neither accept a connection, including a readiness
+// check, nor open one to a target, which then looks unreachable. Callers that open a new
+// connection for each request and leave the old one idle exhaust the descriptors within seconds
+// of a load surge.
 const (
-	// filesReserved are left for the store, other nodes, readiness checks,
-	// metrics and the runtime.
+	// filesReserved is the number of descriptors left for the store, other nodes, readiness
+	// checks, metrics and the runtime.
 	filesReserved = 300
-	// callersPart is the part of the other descriptors for callers: each request
-	// in progress has a connection to a target as well, and a few idle ones are
-	// kept.
-	callersPart = 0.45
-	// crowdedPart is the part of the callers' connections from which answers ask
+	// callerConnShare is the share of the remaining descriptors for callers' connections: each
+	// request in progress also has a connection to a target, and a few idle ones are kept.
+	callerConnShare = 0.45
+	// nearLimitShare is the share of the limit on callers' connections above which answers ask
 	// callers to close theirs.
-	crowdedPart = 0.6
+	nearLimitShare = 0.6
 )
 
-// connLimit returns how many connections callers may have if the node may open
-// maxFiles descriptors; 0 stands for no limit in both.
+// connLimit returns the maximum number of callers' connections if the node may open maxFiles
+// descriptors. In both, 0 means no limit.
 func connLimit(maxFiles int) int {
 	if maxFiles <= 0 {
 		return 0
 	}
-	return max(int(callersPart*float64(maxFiles-filesReserved)), 1)
+	return max(int(callerConnShare*float64(maxFiles-filesReserved)), 1)
 }
 
-// connTracker knows the callers' connections and which of them are idle.
+// connTracker tracks the callers' connections and their states.
 type connTracker struct {
-	// limit is the most connections, 0 for any number.
+	// limit is the maximum number of connections, 0 for no limit.
 	limit int
-	// evicted and rejected count idle connections that were ended for new ones,
-	// and new ones for which there was no room.
+	// evicted counts idle connections that were closed in favor of new ones, rejected new
+	// connections that were closed because none was idle.
 	evicted, rejected prometheus.Counter
 
 	mu    sync.Mutex
 	conns map[net.Conn]http.ConnState
 	idle  map[net.Conn]struct{}
-	// closing says that the node takes no further request.
+	// closing means that the node accepts no further requests.
 	closing bool
 }
 
@@ -58,8 +57,8 @@
 	}
 }
 
-// change is the server's ConnState hook.
-func (t *connTracker) change(c net.Conn, s http.ConnState) {
+// onStateChange is the http.Server's ConnState hook.
+func (t *connTracker) onStateChange(c net.Conn, s http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.idle, c)
@@ -74,34 +73,34 @@
 	case http.StateIdle:
 		t.idle[c] = struct{}{}
 	case http.StateActive:
-		// close or makeRoom may have come between the request's first byte
-		// and this.
+		// close or makeRoom may have set an expired deadline between the arrival of the
+		// request's first byte and this call.
 		_ = c.SetReadDeadline(time.Time{})
 	}
 }
 
-// makeRoom ends an idle connection for a new one that is over the limit. If none
-// is idle it closes the new one, of which nothing was read: its caller may send
-// the request again at once. It is called with the lock held.
-func (t *connTracker) makeRoom(added net.Conn) {
+// makeRoom evicts an idle connection if the new one exceeds the limit. If none is idle, it
+// closes the new one, from which nothing was read, so that its caller can safely resend the
+// request at once. The caller must hold t.mu.
+func (t *connTracker) makeRoom(newConn net.Conn) {
 	if t.limit == 0 || len(t.conns) <= t.limit {
 		return
 	}
 	for c := range t.idle {
 		delete(t.idle, c)
-		_ = c.SetReadDeadline(longAgo) // fails only on a closed connection
+		_ = c.SetReadDeadline(pastDeadline) // fails only on a closed connection
 		t.evicted.Inc()
 		return
 	}
 	t.rejected.Inc()
-	_ = added.Close()
+	_ = newConn.Close()
 }
 
-// crowded says whether answers are to ask callers to close their connections.
-func (t *connTracker) crowded() bool {
+// nearLimit reports whether answers should ask callers to close their connections.
+func (t *connTracker) nearLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.limit > 0 && float64(len(t.conns)) > crowdedPart*float64(t.limit)
+	return t.limit > 0 && float64(len(t.conns)) > nearLimitShare*float64(t.limit)
 }
 
 func (t *connTracker) count() int {
@@ -110,27 +109,27 @@
 	return len(t.conns)
 }
 
-// close says that the node takes no further request, and ends the connections that
-// are between requests. It ends their wait for a next request and does not close them
-// itself: one whose first byte was read a moment ago gets an answer. Busy connections
-// are ended by a later call, once their answers are written; a caller that goes on at
-// once gets a refusal there, which tells it more than a request that crossed a close.
+// close makes the node accept no further requests and ends the connections that are between
+// requests. It expires their read deadline instead of closing them, so that a request whose
+// first byte was just read is still answered. Busy connections are ended by a later call, once
+// their answers are written. A caller that sends another request on one of them gets a refusal,
+// which is more informative than a connection closed while the request was in transit.
 func (t *connTracker) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closing = true
 	for c, s := range t.conns {
 		if s == http.StateIdle || s == http.StateNew {
-			_ = c.SetReadDeadline(longAgo) // fails only on a closed connection
+			_ = c.SetReadDeadline(pastDeadline) // fails only on a closed connection
 		}
 	}
 }
 
-// closes says whether the node takes no further request.
-func (t *connTracker) closes() bool {
+// isClosing reports whether the node accepts no further requests.
+func (t *connTracker) isClosing() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.closing
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
--- a/router/conns_test.go
+++ b/router/conns_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// fakeConn records what is done to a connection.
+// fakeConn records the calls that end a connection.
 type fakeConn struct {
 	net.Conn
 	ended, closed bool
@@ -34,64 +34,63 @@
 	is.True(limit > 1000 && 2*limit+filesReserved < 4200)
 }
 
-// Beyond the limit an idle connection makes room for a new one. If none is idle,
-// the new one is closed unread.
-func TestNewConnectionTakesThePlaceOfAnIdleOne(t *testing.T) {
+// Above the limit, an idle connection is evicted for a new one. If none is idle, the new one is
+// closed without being read.
+func TestNewConnectionEvictsAnIdleOne(t *testing.T) {
 	is := is.New(t)
 	tracker := newConnTracker(2, newMetrics(prometheus.NewRegistry()))
 	var conns [4]fakeConn
-	tracker.change(&conns[0], http.StateNew)
-	tracker.change(&conns[0], http.StateActive)
-	is.True(!tracker.crowded())
-	tracker.change(&conns[1], http.StateNew)
-	tracker.change(&conns[1], http.StateActive)
-	tracker.change(&conns[1], http.StateIdle)
-	is.True(tracker.crowded())
+	tracker.onStateChange(&conns[0], http.StateNew)
+	tracker.onStateChange(&conns[0], http.StateActive)
+	is.True(!tracker.nearLimit())
+	tracker.onStateChange(&conns[1], http.StateNew)
+	tracker.onStateChange(&conns[1], http.StateActive)
+	tracker.onStateChange(&conns[1], http.StateIdle)
+	is.True(tracker.nearLimit())
 
-	tracker.change(&conns[2], http.StateNew)
+	tracker.onStateChange(&conns[2], http.StateNew)
 	is.True(conns[1].ended && !conns[1].closed && !conns[0].ended)
 	is.True(!conns[2].closed)
-	tracker.change(&conns[2], http.StateActive)
-	tracker.change(&conns[1], http.StateClosed)
+	tracker.onStateChange(&conns[2], http.StateActive)
+	tracker.onStateChange(&conns[1], http.StateClosed)
 
-	tracker.change(&conns[3], http.StateNew)
+	tracker.onStateChange(&conns[3], http.StateNew)
 	is.True(conns[3].closed)
 	is.True(!conns[0].ended && !conns[2].ended)
-	tracker.change(&conns[3], http.StateClosed)
+	tracker.onStateChange(&conns[3], http.StateClosed)
 	is.Equal(tracker.count(), 2)
 }
 
-// A request whose first byte came just before its idle connection was ended is
-// read all the same.
-func TestEndedConnectionWithARequestIsServed(t *testing.T) {
+// A request whose first byte arrived just before its idle connection was evicted is still read.
+func TestRequestOnEvictedConnectionIsServed(t *testing.T) {
 	is := is.New(t)
 	tracker := newConnTracker(1, newMetrics(prometheus.NewRegistry()))
 	var idle, added fakeConn
-	tracker.change(&idle, http.StateNew)
-	tracker.change(&idle, http.StateIdle)
-	tracker.change(&added, http.StateNew)
+	tracker.onStateChange(&idle, http.StateNew)
+	tracker.onStateChange(&idle, http.StateIdle)
+	tracker.onStateChange(&added, http.StateNew)
 	is.True(idle.ended)
-	tracker.change(&idle, http.StateActive)
+	tracker.onStateChange(&idle, http.StateActive)
 	is.True(!idle.ended)
 }
 
-// A busy connection is ended once its answer is written, since its caller was not
-// asked to close it. What comes on it before gets a refusal.
-func TestBusyConnectionEndsAfterItsAnswer(t *testing.T) {
+// A busy connection is closed once its answer is written, since its caller was not asked to
+// close it. Requests that arrive on it before that are refused.
+func TestBusyConnectionClosesAfterItsAnswer(t *testing.T) {
 	is := is.New(t)
 	tracker := newConnTracker(0, newMetrics(prometheus.NewRegistry()))
 	var busy, idle fakeConn
 	for _, c := range []*fakeConn{&busy, &idle} {
-		tracker.change(c, http.StateNew)
-		tracker.change(c, http.StateActive)
+		tracker.onStateChange(c, http.StateNew)
+		tracker.onStateChange(c, http.StateActive)
 	}
-	tracker.change(&idle, http.StateIdle)
-	is.True(!tracker.closes())
+	tracker.onStateChange(&idle, http.StateIdle)
+	is.True(!tracker.isClosing())
 	tracker.close()
-	is.True(tracker.closes())
+	is.True(tracker.isClosing())
 	is.True(idle.ended && !idle.closed) // a first byte may have been read
 	is.True(!busy.ended)
-	tracker.change(&busy, http.StateIdle)
+	tracker.onStateChange(&busy, http.StateIdle)
 	tracker.close()
 	is.True(busy.ended && !busy.closed)
 }
--- a/router/delivery.go
+++ b/router/delivery.go
@@ -10,108 +10,107 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// callerStall is how long a write may wait for its caller to read: as long as callers
-// wait at least for the next event of a stream before they leave. It begins with the
-// write and not with the request's deadline: a node that is late for want of its
-// processor has an answer to give all the same.
-const callerStall = 2 * time.Second
+// callerWriteTimeout is how long a write may wait for the caller to read: the minimum time that
+// callers wait for the next event of a stream before they disconnect. It starts with the write
+// and not at the request's deadline, because a node that is late since it is short of CPU still
+// has an answer to deliver.
+const callerWriteTimeout = 2 * time.Second
 
-// Causes of a connection closed without an answer, besides the reasons of refusals.
+// Causes of a connection closed without an answer, in addition to the reasons of refusals.
 const (
-	// causeStopped: the grace time of a stop was over.
+	// causeStopped: the grace period of a shutdown ended.
 	causeStopped = "stopped"
-	// causeWrite: the answer could not be written in time.
-	causeWrite = "write_failed"
-	// causePanic: the program has a fault.
+	// causeWriteFailed: the answer could not be written in time.
+	causeWriteFailed = "write_failed"
+	// causePanic: the request's handler panicked.
 	causePanic = "panic"
 )
 
-// limitWrite bounds the write that follows: a caller that doesn't read must not hold
-// the node's buffers. Until the request's deadline it may take its time.
-func (x *exchange) limitWrite() {
-	end := x.router.now().Add(callerStall)
+// setWriteDeadline limits the duration of the next write, so that a caller that does not read
+// cannot hold the node's buffers. The limit is never before the request's deadline.
+func (x *exchange) setWriteDeadline() {
+	end := x.router.now().Add(callerWriteTimeout)
 	if x.deadline.After(end) {
 		end = x.deadline
 	}
-	// A writer without deadlines only waits for the caller's own end.
+	// A ResponseWriter without deadline support blocks only until the caller disconnects.
 	_ = x.rc.SetWriteDeadline(end)
 }
 
-// write hands a part of the answer to the server's buffer.
+// write writes a part of the answer to the server's buffer.
 func (x *exchange) write(p []byte) error {
-	x.limitWrite()
+	x.setWriteDeadline()
 	n, err := x.w.Write(p)
 	x.unflushed += n
 	return err
 }
 
-// writeNow hands a part of the answer to the caller's connection.
-func (x *exchange) writeNow(p []byte) error {
+// writeAndFlush writes a part of the answer to the caller's connection.
+func (x *exchange) writeAndFlush(p []byte) error {
 	if err := x.write(p); err != nil {
 		return err
 	}
 	return x.flush()
 }
 
-// flush hands what was written to the caller's connection.
+// flush writes the buffered data to the caller's connection.
 func (x *exchange) flush() error {
-	x.limitWrite()
+	x.setWriteDeadline()
 	if err := x.rc.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
-	if x.unflushed > 0 && x.done.delivered == 0 {
-		x.done.firstEvent = x.router.now().Sub(x.start)
+	if x.unflushed > 0 && x.summary.delivered == 0 {
+		x.summary.firstEvent = x.router.now().Sub(x.start)
 	}
-	x.done.delivered += x.unflushed
+	x.summary.delivered += x.unflushed
 	x.unflushed = 0
 	return nil
 }
 
-// flushLast flushes an answer that is whole, so that a failure to write it is seen.
-func (x *exchange) flushLast() {
+// flushAnswer flushes a complete answer and logs and counts a failed write.
+func (x *exchange) flushAnswer() {
 	err := x.flush()
 	if err == nil {
 		return
 	}
 	x.router.log.Warn("answer not written", "request", x.call.ID, "err", err)
 	x.writeFailed = isTimeout(err)
-	x.noteUnanswered(problem.CallerGone)
+	x.recordUnanswered(problem.CallerGone)
 }
 
-// callerGone says whether the caller's connection has ended.
+// callerGone reports whether the caller's connection has ended.
 func (x *exchange) callerGone() bool {
 	ctx := x.req.Context()
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStopping)
 }
 
-// limitConnection asks the caller to close its connection after this answer where
-// the node stops or has too many. It goes by the moment at which the header is
-// written, so that a stop also reaches connections whose requests it found waiting.
-func (x *exchange) limitConnection() {
-	if x.router.draining.Load() || x.router.conns.crowded() {
+// maybeSendConnectionClose asks the caller to close its connection after this answer if the
+// node is draining or has too many connections. It is evaluated when the header is written, so
+// that draining also covers connections whose requests were already in progress when it began.
+func (x *exchange) maybeSendConnectionClose() {
+	if x.router.draining.Load() || x.router.conns.nearLimit() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// abort closes the caller's connection, which shows the caller that its answer
-// is not whole.
+// abort closes the caller's connection, which signals that the answer is incomplete.
 func (x *exchange) abort(reason problem.Reason) {
-	x.noteUnanswered(reason)
+	x.recordUnanswered(reason)
 	panic(http.ErrAbortHandler)
 }
 
-// noteUnanswered counts a request that was read whole and whose connection ends
-// without a byte of an answer.
-func (x *exchange) noteUnanswered(reason problem.Reason) {
-	if !x.read || x.done.delivered > 0 {
+// recordUnanswered counts a request that was completely read and whose connection ends before a
+// byte of its answer was delivered.
+func (x *exchange) recordUnanswered(reason problem.Reason) {
+	if !x.read || x.summary.delivered > 0 {
 		return
 	}
 	cause := string(reason)
 	switch {
 	case x.writeFailed:
-		cause = causeWrite
+		cause = causeWriteFailed
 	case reason == problem.CallerGone && x.router.stopped.Load():
-		// The node's last Close looks like a caller that leaves.
+		// The final Close of the server cancels the request's context as a disconnect does.
 		cause = causeStopped
 	}
 	x.countUnanswered(cause)
@@ -120,8 +119,8 @@
 func (x *exchange) countUnanswered(cause string) {
 	x.router.metrics.unanswered.WithLabelValues(cause).Inc()
 	if cause == string(problem.CallerGone) {
-		return // its line "refused" says all, and many leave in a surge
+		return // the log line "refused" has all details, and many callers disconnect in a load surge
 	}
 	x.router.log.Warn("connection closed without an answer", "request", x.call.ID, "cause", cause,
-		"runs", x.runs, "begun", x.begun, "ms", x.router.now().Sub(x.start).Milliseconds())
+		"runs", x.executions, "begun", x.answerBegun, "ms", x.router.now().Sub(x.start).Milliseconds())
 }
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -1,6 +1,6 @@
-// Package router is the front of a node that routes by a platform's catalog:
-// it takes callers' requests, picks a target for each, forwards it and relays
-// the answer. How callers and targets spell things is left to a Dialect.
+// Package router serves callers' requests with the targets of a platform's catalog: it reads a
+// request, picks a target, forwards the request and relays the answer. A Dialect encodes and
+// decodes the platform's HTTP headers.
 package router
 
 import (
@@ -12,60 +12,59 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// Call is what a caller's header says.
+// Call is the decoded header of a caller's request.
 type Call struct {
-	// ID names the request; targets repeat it in their answers.
+	// ID identifies the request; targets repeat it in their answers.
 	ID string
 	// Key is the caller's API key, empty for none.
 	Key string
-	// Deadline is how long the caller waits; 0 for unknown.
+	// Deadline is how long the caller waits; 0 if unknown.
 	Deadline time.Duration
-	// Parts are those of the prompt that it shares with other requests, in
-	// order.
+	// Parts are the segments of the prompt that it shares with other requests, in order.
 	Parts []affinity.Part
-	// LastEvent is the event after which a stream is to be resumed, empty for
-	// a whole stream.
+	// LastEvent is the ID of the event after which a stream is to be resumed, empty for the
+	// complete stream.
 	LastEvent string
 }
 
-// Send is what the node adds to a request for a target.
+// Send holds the values that the node adds to the header of a request to a target.
 type Send struct {
-	// Target is the ID of the target that is meant; another one refuses.
+	// Target is the ID of the intended target; any other target refuses the request.
 	Target string
 	// Remaining is how long the answer is still waited for; 0 for no limit.
 	Remaining time.Duration
 	// Workspace is the name of the caller's workspace, empty for none.
 	Workspace string
-	// Priority is the rank of the request at the target, 0 the most urgent.
+	// Priority is the rank of the request at the target; 0 is the most urgent.
 	Priority int
-	// FetchFrom is the ip:port of a target that holds parts of the prompt.
+	// FetchFrom is the ip:port of another target that holds parts of the prompt.
 	FetchFrom string
-	// LastEvent is the event after which a stream goes on.
+	// LastEvent is the ID of the event after which the stream continues.
 	LastEvent string
 }
 
-// Reply is what the header of a target's answer says.
+// Reply is the decoded header of a target's answer.
 type Reply struct {
-	// ID is that of the request which the answer belongs to, empty if the
-	// target gave none.
+	// ID is the ID of the request that the answer belongs to, empty if the target sent none.
 	ID string
-	// NotRun is the target's word that it did not run the request.
+	// NotRun means that the target states that it did not run the request.
 	NotRun bool
 	// WrongTarget means that another target has the address now.
 	WrongTarget bool
-	// Signed answers are a target's own work.
+	// Signed means that the answer has the target's signature: the target itself produced it.
 	Signed bool
-	// Running is the number of requests in progress at the target, if HasLoad.
+	// Running is the number of requests in progress at the target, valid if HasLoad.
 	Running int
 	HasLoad bool
-	// Notice is what the target says of itself besides.
+	// Notice is what the target announces about itself: that it is leaving or wants no requests
+	// for some time.
 	Notice notice.Notice
 }
 
-// isOwn says whether an answer with the given status to the request with the given ID is
-// surely by the target that the request was sent to: another process may have its address
-// by now, or what comes is a late answer to an earlier request.
-func (r Reply) isOwn(status int, id string) bool {
+// isFromTarget reports whether an answer with the given status certainly comes from the target
+// that the request with the given ID was sent to. Another process may have its address by now,
+// or the answer may be a late one to an earlier request.
+func (r Reply) isFromTarget(status int, id string) bool {
 	switch {
 	case r.WrongTarget:
 		return false
@@ -77,18 +76,18 @@
 	return r.Signed || status >= http.StatusMultipleChoices
 }
 
-// Dialect spells requests and answers as a platform wants them. It decides
-// nothing.
+// Dialect encodes and decodes requests and answers for a platform. It contains no routing
+// policy.
 type Dialect interface {
-	// DecodeCall reads a caller's header.
+	// DecodeCall decodes the header of a caller's request.
 	DecodeCall(r *http.Request) (Call, error)
-	// EncodeSend sets the header of a request to a target from that of the
-	// caller's request. It passes on nothing that only the node may set.
+	// EncodeSend sets the header of a request to a target from that of the caller's request,
+	// without the headers that only the node may set.
 	EncodeSend(dst, src http.Header, s Send)
-	// DecodeReply reads the header of a target's answer.
+	// DecodeReply decodes the header of a target's answer.
 	DecodeReply(status int, h http.Header) Reply
 	// EncodeAnswer sets the header of the answer to the caller.
 	EncodeAnswer(dst, src http.Header)
-	// WriteRefusal writes a refusal as the whole answer.
+	// WriteRefusal writes a refusal as the complete answer.
 	WriteRefusal(w http.ResponseWriter, p *problem.Problem)
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -10,60 +10,59 @@
 )
 
 const (
-	// unreadyNoticed is when balancers have taken an unready node out: two
-	// checks, one a second, and their answers.
-	unreadyNoticed = 2500 * time.Millisecond
+	// unreadyPropagation is the time after which load balancers have removed an unready node:
+	// two checks, one per second, and their answers.
+	unreadyPropagation = 2500 * time.Millisecond
 	// stopMargin is left between the end of the last request and SIGKILL.
 	stopMargin = 300 * time.Millisecond
-	// refuseMargin is left before that for refusals to requests whose targets are
-	// silent: a write, on a node that waits for its processor.
-	refuseMargin = 200 * time.Millisecond
-	stopPoll     = 50 * time.Millisecond
-	// stopRetryAfter is for callers whose next node can serve them at once.
+	// refusalMargin is left before stopMargin to refuse requests whose targets do not answer:
+	// time for a write on a node that is short of CPU.
+	refusalMargin    = 200 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
+	// stopRetryAfter is the Retry-After for callers whose next node can serve them at once.
 	stopRetryAfter = 10 * time.Millisecond
 )
 
-// errStopping ends the work of a node whose grace time is over.
+// errStopping cancels the requests of a node whose grace period has ended.
 var errStopping = errors.New("the node stops")
 
-// Drain implements kernel.Drainer: the node is no longer ready, and answers
-// ask callers to close their connections. Every request is still served.
+// Drain implements kernel.Drainer: the node reports unready, and its answers ask callers to
+// close their connections. Every request is still served.
 func (r *Router) Drain(context.Context) error {
 	r.draining.Store(true)
-	r.log.Info("router drains", "in_flight", r.inFlight.Load())
+	r.log.Info("router is draining", "in_flight", r.inFlight.Load())
 	return nil
 }
 
-// Stop implements kernel.Stopper. Requests are served until the balancer has
-// surely noticed; then the listener and the idle connections are closed, busy ones
-// after their answers, and what still comes on those is refused, so that it goes to
-// other nodes. What is in
-// progress has the rest of the grace time. A node that serves new requests to the
-// end of its grace time would cut the long ones off, where the balancer uses unready
-// nodes because few others are ready, and on connections that its callers go on
-// using.
+// Stop implements kernel.Stopper. Requests are served until the load balancer has certainly
+// removed the node. Then the listener and the idle connections are closed, busy ones after
+// their answers, and further requests on busy connections are refused, so that callers send
+// them to other nodes. Requests in progress have the rest of the grace period. A node that
+// served new requests until the end of its grace period would cut off the long ones, namely
+// where the load balancer uses unready nodes because few others are ready, and on connections
+// that callers keep using.
 func (r *Router) Stop(ctx context.Context) error {
-	begun := r.now()
-	deadline := begun.Add(r.cfg.Grace - stopMargin)
-	noticed := begun.Add(min(unreadyNoticed, r.cfg.Grace/3))
-	pause.Sleep(ctx, noticed.Sub(begun))
-	err := r.frontListener.Close()
-	r.endConns(ctx, deadline.Add(-refuseMargin))
+	started := r.now()
+	deadline := started.Add(r.cfg.Grace - stopMargin)
+	removedAt := started.Add(min(unreadyPropagation, r.cfg.Grace/3))
+	pause.Sleep(ctx, removedAt.Sub(started))
+	err := r.callerListener.Close()
+	r.drainConns(ctx, deadline.Add(-refusalMargin))
 	r.stopped.Store(true)
-	r.endWork(errStopping)
-	r.endConns(ctx, deadline)
-	r.log.Info("router stops", "in_flight", r.inFlight.Load(), "connections", r.conns.count())
-	_ = r.ready.Close() // a readiness check that fails now is what it asks
-	return errors.CombineErrors(err, r.front.Close())
+	r.cancelRequests(errStopping)
+	r.drainConns(ctx, deadline)
+	r.log.Info("router is stopping", "in_flight", r.inFlight.Load(), "connections", r.conns.count())
+	_ = r.readinessServer.Close() // readiness checks are meant to fail now
+	return errors.CombineErrors(err, r.callerServer.Close())
 }
 
-// endConns ends callers' connections as they fall idle, until the deadline.
-func (r *Router) endConns(ctx context.Context, deadline time.Time) {
+// drainConns closes callers' connections as they become idle, until the deadline.
+func (r *Router) drainConns(ctx context.Context, deadline time.Time) {
 	for {
 		r.conns.close()
 		if r.conns.count() == 0 || !r.now().Before(deadline) || ctx.Err() != nil {
 			return
 		}
-		pause.Sleep(ctx, stopPoll)
+		pause.Sleep(ctx, stopPollInterval)
 	}
 }
--- a/router/ends.go
+++ b/router/ends.go
@@ -11,99 +11,100 @@
 	"github.com/knapweedgw/knapweedgw/upstream"
 )
 
-// A connection that a target closes before its answer is whole is either a lost answer or
-// the end of the target. Which of the two is found out by opening another connection: a
-// target that has ended refuses it, and one that lives, or something before it that goes
-// on listening, takes it. If neither comes, a later refusal or start of the target tells.
+// When a target closes a connection before its answer is complete, either the answer was lost
+// or the target has terminated. The node distinguishes the two by opening another connection: a
+// terminated target refuses it; a live target, or a proxy in front of it that keeps listening,
+// accepts it. If the connection is neither refused nor accepted, a later refusal or a restart
+// of the target shows that it terminated.
 
 const (
-	// suspectFor is how long a run whose connection was closed waits for evidence that
-	// its target has ended.
-	suspectFor = 3 * time.Second
-	// closeSpread is how far apart a node sees the connections close that end with their
-	// target.
-	closeSpread = 200 * time.Millisecond
-	// maxSuspects bounds the runs of a target that wait so.
+	// suspectTTL is how long a request whose connection was closed remains a suspect without
+	// evidence that its target has terminated.
+	suspectTTL = 3 * time.Second
+	// closeSkew is the maximum time between the closing of the connections, as this node
+	// observes it, that end with the same termination of a target.
+	closeSkew = 200 * time.Millisecond
+	// maxSuspects is the maximum number of suspects per target.
 	maxSuspects = 64
-	// probeWait is the longest that a request waits to learn whether it ended its target
-	// before it goes to the next: many round trips within a region.
-	probeWait = 50 * time.Millisecond
+	// probeTimeout is the longest that a request waits for the result of the probe of its
+	// failed target before it goes to the next one: many round trips within a region.
+	probeTimeout = 50 * time.Millisecond
 )
 
-// closed notes a run whose target closed the connection. The channel is closed when the
-// target was asked whether it takes another.
-func (p *pool) closed(m *member, s quarantine.Suspect) <-chan struct{} {
+// connectionClosed records a request whose target closed the connection. The returned channel
+// is closed when the target has been probed.
+func (p *pool) connectionClosed(m *member, s quarantine.Suspect) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	m.closed = slices.DeleteFunc(m.closed, func(c quarantine.Suspect) bool { return now.Sub(c.Closed) > suspectFor })
-	if len(m.closed) < maxSuspects {
+	m.suspects = slices.DeleteFunc(m.suspects, func(c quarantine.Suspect) bool { return now.Sub(c.Closed) > suspectTTL })
+	if len(m.suspects) < maxSuspects {
 		s.Closed = now
-		m.closed = append(m.closed, s)
+		m.suspects = append(m.suspects, s)
 	}
 	if m.probe == nil {
 		m.probe = make(chan struct{})
-		go p.probeEnd(m, m.target.Addr)
+		go p.probeTarget(m, m.target.Addr)
 	}
 	return m.probe
 }
 
-// probeEnd finds out whether a target takes connections.
-func (p *pool) probeEnd(m *member, addr string) {
-	err := p.try(addr)
+// probeTarget finds out whether a target accepts connections.
+func (p *pool) probeTarget(m *member, addr string) {
+	err := p.dial(addr)
 	if upstream.IsRefused(err) {
-		p.ended(m)
+		p.connectionRefused(m)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
-		m.closed = nil // the answers were lost
+		m.suspects = nil // the target is alive, so the answers were lost
 	}
 	close(m.probe)
 	m.probe = nil
 }
 
-// ended is for a target that refuses connections.
-func (p *pool) ended(m *member) {
+// connectionRefused handles a target that refuses connections: it has terminated.
+func (p *pool) connectionRefused(m *member) {
 	p.observe(m, health.Unreachable)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.blame(m)
+	p.reportSuspects(m)
 }
 
-// blame tells the guard of the runs under which a target ended. That was when it closed
-// the first of their connections; what was sent later met no target. It is called with
-// the lock held.
-func (p *pool) blame(m *member) {
-	if len(m.closed) == 0 {
+// reportSuspects reports to the quarantine guard the requests that were running when a target
+// terminated. The time of the termination is when the target closed the first of their
+// connections; requests sent later did not reach it. The caller must hold p.mu.
+func (p *pool) reportSuspects(m *member) {
+	if len(m.suspects) == 0 {
 		return
 	}
-	now, ended := p.now(), m.closed[0].Closed
-	suspects := slices.DeleteFunc(m.closed, func(c quarantine.Suspect) bool {
-		late := c.Closed.Sub(ended) > closeSpread || !c.Sent.Before(ended)
-		return late || now.Sub(c.Closed) > suspectFor
+	now, terminatedAt := p.now(), m.suspects[0].Closed
+	suspects := slices.DeleteFunc(m.suspects, func(c quarantine.Suspect) bool {
+		late := c.Closed.Sub(terminatedAt) > closeSkew || !c.Sent.Before(terminatedAt)
+		return late || now.Sub(c.Closed) > suspectTTL
 	})
-	m.closed = nil
+	m.suspects = nil
 	p.guard.Ended(m.target.ID, m.target.RunHash(), suspects)
 }
 
-// closedByTarget is for a connection that a target closed before its answer was whole.
-func (x *exchange) closedByTarget(l lease, f *failure) {
+// closedByTarget handles a connection that the target closed before its answer was complete.
+func (x *exchange) closedByTarget(a assignment, f *failure) {
 	x.router.log.Info("target closed the connection", "request", x.call.ID, "fingerprint", x.fingerprint(),
-		"target", l.target.ID, "started", l.target.Started, "running", l.choice.Running,
-		"sent_ms_ago", x.router.now().Sub(x.sentAt).Milliseconds(), "begun", x.begun, "cause", f.cause)
-	f.probed = x.router.pool.closed(l.member, quarantine.Suspect{
+		"target", a.target.ID, "started", a.target.Started, "running", a.choice.Running,
+		"sent_ms_ago", x.router.now().Sub(x.sentAt).Milliseconds(), "begun", x.answerBegun, "cause", f.cause)
+	f.probed = x.router.pool.connectionClosed(a.member, quarantine.Suspect{
 		Request: x.call.ID, Fingerprint: x.fingerprint(), Sent: x.sentAt,
 	})
 }
 
-// awaitProbe waits until it is known whether the failed attempt ended its target: the
-// next one must not run what is in quarantine by then.
+// awaitProbe waits until it is known whether the target of the failed attempt has terminated,
+// since the next attempt must not run a request that this puts into quarantine.
 func (x *exchange) awaitProbe(ctx context.Context, f *failure) {
 	if f.probed == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	select {
 	case <-ctx.Done():
@@ -111,24 +112,25 @@
 	}
 }
 
-// fingerprint tells the request from others of its caller, and from those of others.
+// fingerprint returns the fingerprint that identifies copies of the request: by its caller,
+// method, host, URI and body.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if !x.hasFingerprint {
 		caller := x.workspace
 		if caller == "" {
 			caller = x.call.Key
 		}
-		x.knownFingerprint = quarantine.Request{
+		x.cachedFingerprint = quarantine.Request{
 			Caller: caller, Method: x.req.Method, Host: x.req.Host, URI: x.req.RequestURI, Body: x.body,
 		}.Fingerprint()
 		x.hasFingerprint = true
 	}
-	return x.knownFingerprint
+	return x.cachedFingerprint
 }
 
-// beginRun asks whether the request may be run. It returns why not, nil if it may; then
-// the caller must call endRun after the attempt.
-func (x *exchange) beginRun() *failure {
+// beginAttempt asks the quarantine guard whether the request may run. It returns the reason if
+// it may not, else nil; then the caller must call endAttempt after the attempt.
+func (x *exchange) beginAttempt() *failure {
 	guard := x.router.guard
 	if !guard.Active() {
 		return nil
@@ -145,8 +147,9 @@
 	return nil
 }
 
-// endRun ends what beginRun began. completed says that the target's answer came whole.
-func (x *exchange) endRun(completed bool) {
+// endAttempt ends an attempt that beginAttempt allowed. completed means that the target's
+// answer was complete.
+func (x *exchange) endAttempt(completed bool) {
 	guard := x.router.guard
 	if x.guarded {
 		x.guarded = false
--- a/router/ends_test.go
+++ b/router/ends_test.go
@@ -14,29 +14,30 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// errDial is what a dial of a target whose program has ended gives.
-var errDial = &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+// errDialRefused is the dial error of a target whose process has terminated.
+var errDialRefused = &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-// errNoReplyToDial is what the dial of a target behind a cut gives.
-var errNoReplyToDial = &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
+// errDialTimeout is the dial error of a target behind a network partition.
+var errDialTimeout = &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 
-// suspected is a request whose target closed the connection.
-func suspected(p *testPool, n byte) quarantine.Suspect {
-	return quarantine.Suspect{Request: "r", Fingerprint: quarantine.Fingerprint{n}, Sent: p.at.Add(-100 * time.Millisecond)}
+// closedRequest returns the suspect for a request whose target closed the connection.
+func closedRequest(p *testPool, n byte) quarantine.Suspect {
+	return quarantine.Suspect{Request: "r", Fingerprint: quarantine.Fingerprint{n}, Sent: p.clock.Add(-100 * time.Millisecond)}
 }
 
-// strikes is how often a target has ended under a request.
+// strikes returns how many times a target terminated while running the request.
 func strikes(p *testPool, s quarantine.Suspect) int { return p.guard.Begin(s.Fingerprint).Strikes }
 
-// A closed connection says that the target has ended only if the target refuses another.
-func TestClosedConnectionAndWhatTheNextOneMeets(t *testing.T) {
+// A closed connection counts as a termination of the target only if the target refuses another
+// one.
+func TestProbeAfterClosedConnection(t *testing.T) {
 	for name, tt := range map[string]struct {
 		dial error
 		want int
 	}{
-		"refused":  {errDial, 1},
+		"refused":  {errDialRefused, 1},
 		"accepted": {nil, 0},
-		"no reply": {errNoReplyToDial, 0},
+		"no reply": {errDialTimeout, 0},
 		"no descriptor": {
 			&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}, 0,
 		},
@@ -44,94 +45,96 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPool(roster.Target{ID: "a", Service: service, Slots: 8})
-			p.try = func(string) error { return tt.dial }
-			s := suspected(p, 1)
-			<-p.closed(p.members["a"], s)
+			p.dial = func(string) error { return tt.dial }
+			s := closedRequest(p, 1)
+			<-p.connectionClosed(p.members["a"], s)
 			is.New(t).Equal(strikes(p, s), tt.want)
 		})
 	}
 }
 
-// A target that could not be asked shows by its next start that it has ended. One that
-// took a connection since has not: something before it may go on listening while it is
-// away, and then each request sent there is closed.
-func TestNextStartShowsTheEnd(t *testing.T) {
+// If the probe gets no reply, a restart of the target soon after shows that it had terminated.
+// A target that accepted a connection since the failure has not terminated: a proxy in front of
+// it may keep listening while it is down, and then every connection to it is closed.
+func TestRestartShowsTermination(t *testing.T) {
 	for name, tt := range map[string]struct {
 		after time.Duration
 		dial  error
 		want  int
 	}{
-		"soon":                      {time.Second, errNoReplyToDial, 1},
-		"long after":                {suspectFor + time.Second, errNoReplyToDial, 0},
+		"soon":                      {time.Second, errDialTimeout, 1},
+		"long after":                {suspectTTL + time.Second, errDialTimeout, 0},
 		"after it took connections": {time.Second, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			target := roster.Target{ID: "a", Service: service, Slots: 8, Started: start}
 			p := newTestPool(target)
-			p.try = func(string) error { return tt.dial }
-			s := suspected(p, 1)
-			<-p.closed(p.members["a"], s)
+			p.dial = func(string) error { return tt.dial }
+			s := closedRequest(p, 1)
+			<-p.connectionClosed(p.members["a"], s)
 			is.Equal(strikes(p, s), 0)
-			p.at = p.at.Add(tt.after)
-			target.Started = p.at
-			p.keeper.Reset([]roster.Target{target}, p.at)
+			p.clock = p.clock.Add(tt.after)
+			target.Started = p.clock
+			p.keeper.Reset([]roster.Target{target}, p.clock)
 			p.update(p.keeper.Changes())
 			is.Equal(strikes(p, s), tt.want)
 		})
 	}
 }
 
-// All runs on a target that ends are suspects, of one end.
-func TestAllRunsOfATargetThatEndsAreSuspects(t *testing.T) {
+// All requests in progress at a target that terminates are suspects of a single termination.
+func TestAllRequestsAtATerminatedTargetAreSuspects(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(roster.Target{ID: "a", Service: service, Slots: 8})
 	answer := make(chan error)
-	p.try = func(string) error { return <-answer }
-	one, two := suspected(p, 1), suspected(p, 2)
-	probed := p.closed(p.members["a"], one)
-	is.Equal(probed, p.closed(p.members["a"], two)) // one dial for all
-	_ = p.closed(p.members["a"], one)
-	answer <- errDial
+	p.dial = func(string) error { return <-answer }
+	one, two := closedRequest(p, 1), closedRequest(p, 2)
+	probed := p.connectionClosed(p.members["a"], one)
+	is.Equal(probed, p.connectionClosed(p.members["a"], two)) // one dial for all
+	_ = p.connectionClosed(p.members["a"], one)
+	answer <- errDialRefused
 	<-probed
 	is.Equal(strikes(p, one), 1)
 	is.Equal(strikes(p, two), 1)
 }
 
-// closedAt notes a run that was sent and closed at the given times after the start.
+// closedAt records a request that was sent, and its connection closed, at the given times after
+// start.
 func closedAt(p *testPool, n byte, sent, closed time.Duration) quarantine.Suspect {
-	p.at = start.Add(closed)
+	p.clock = start.Add(closed)
 	s := quarantine.Suspect{Request: "r", Fingerprint: quarantine.Fingerprint{n}, Sent: start.Add(sent)}
-	<-p.closed(p.members["a"], s)
+	<-p.connectionClosed(p.members["a"], s)
 	return s
 }
 
-// A target ends once: runs that were sent to it after that are no suspects.
-func TestRunsSentToADeadTargetAreNoSuspects(t *testing.T) {
+// A target terminates once: requests that were sent to it after that are not suspects.
+func TestRequestsSentAfterTerminationAreNoSuspects(t *testing.T) {
 	is := is.New(t)
 	target := roster.Target{ID: "a", Service: service, Slots: 8, Started: start}
 	p := newTestPool(target)
-	p.try = func(string) error { return errNoReplyToDial }
+	p.dial = func(string) error { return errDialTimeout }
 	ended := closedAt(p, 1, 0, 100*time.Millisecond)
 	var later []quarantine.Suspect
 	for i := range 4 {
 		at := time.Duration(i+1) * 400 * time.Millisecond
 		later = append(later, closedAt(p, 2, at, at+10*time.Millisecond))
 	}
-	target.Started = p.at
-	p.keeper.Reset([]roster.Target{target}, p.at)
+	target.Started = p.clock
+	p.keeper.Reset([]roster.Target{target}, p.clock)
 	p.update(p.keeper.Changes())
 	is.Equal(strikes(p, ended), 1)
 	is.Equal(strikes(p, later[0]), 0)
 }
 
-// A target that loses answers and ends later has ended under what it ran then.
-func TestLostAnswersBeforeAnEndAreNoSuspects(t *testing.T) {
+// If a target loses answers and terminates later, only the requests that it ran at its
+// termination are suspects.
+func TestLostAnswersBeforeTerminationAreNoSuspects(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(roster.Target{ID: "a", Service: service, Slots: 8})
-	p.try = func(string) error { return nil }
+	p.dial = func(string) error { return nil }
 	lost := closedAt(p, 1, 0, 100*time.Millisecond)
-	p.try = func(string) error { return errDial }
+	p.dial = func(string) error { return errDialRefused }
 	ended := closedAt(p, 2, time.Second, 1100*time.Millisecond)
 	is.Equal(strikes(p, lost), 0)
 	is.Equal(strikes(p, ended), 1)
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// startRetryAfter is for callers of a node that has just begun: it usually
-	// has the configuration within a few round trips to the store.
+	// startRetryAfter is the Retry-After for callers of a node that has just started: it
+	// usually has the configuration within a few round trips to the store.
 	startRetryAfter = 300 * time.Millisecond
-	// startWait is how long a request waits for that: some round trips to the store, and
-	// short beside the shortest target latencies known, so that one that has to be
-	// refused all the same is not held for long.
-	startWait = 150 * time.Millisecond
-	// timeoutSlack lets a target's own answer at the deadline arrive.
+	// configWait is how long a request waits for the first configuration: a few round trips to
+	// the store, but short compared with the shortest known target latencies, so that a request
+	// that must be refused anyway is not delayed for long.
+	configWait = 150 * time.Millisecond
+	// timeoutSlack is added to the deadline so that an answer that the target itself sends at
+	// the deadline still arrives.
 	timeoutSlack = 40 * time.Millisecond
 )
 
-// exchange is one caller's request in progress.
+// exchange is the state of one caller's request in progress.
 type exchange struct {
 	router *Router
 	w      http.ResponseWriter
@@ -39,7 +40,7 @@
 
 	call Call
 	body []byte
-	// read says that the request was read whole.
+	// read means that the request was completely read.
 	read      bool
 	catalog   *catalog.Catalog
 	revision  int64
@@ -47,47 +48,48 @@
 	service   string
 	workspace string
 	priority  int
-	// regions are those to whose targets the request may go.
+	// regions are the regions whose targets may get the request.
 	regions catalog.Regions
 	// deadline is when the caller or the route gives up; zero for never.
 	deadline time.Time
 
-	// sentAt is when the attempt in progress began, and attemptCancel ends it.
+	// sentAt is when the attempt in progress began; attemptCancel cancels it.
 	sentAt        time.Time
 	attemptCancel context.CancelFunc
 
-	// knownFingerprint is the request's fingerprint, if hasFingerprint: few need one.
-	knownFingerprint quarantine.Fingerprint
-	hasFingerprint   bool
-	// guarded says that the guard counts the attempt in progress, completed that the
-	// last attempt's target answered it whole.
+	// cachedFingerprint is the request's fingerprint, valid if hasFingerprint. It is computed
+	// on demand, since few requests need it.
+	cachedFingerprint quarantine.Fingerprint
+	hasFingerprint    bool
+	// guarded means that the quarantine guard counts the attempt in progress, completed that
+	// the target's answer to the last attempt was complete.
 	guarded, completed bool
 
-	// reserved says that the retry budget has already paid for the next attempt.
-	reserved atomic.Bool
+	// retryReserved means that the next attempt was already charged to the retry budget.
+	retryReserved atomic.Bool
 
 	tried []string
-	// overdue is a tried target that was left only because it took too long.
+	// overdue is the ID of a tried target that was abandoned only because it took too long.
 	overdue string
-	// tries counts the targets tried, runs those that may have run the request.
-	tries, runs int
-	// held is the answer of a target that failed the request, to be delivered if
-	// nothing better comes; nil for none.
-	held *heldAnswer
-	// lastEvent is the last whole event delivered, begun whether any of the
-	// answer was: from then on a failure can only be shown by closing the
+	// tries counts the targets tried, executions those that may have run the request.
+	tries, executions int
+	// held is the answer of a target that failed the request, delivered if no later attempt
+	// succeeds; nil for none.
+	held *bufferedAnswer
+	// lastEvent is the ID of the last complete event delivered. answerBegun means that a part
+	// of the answer was sent: from then on the only way to signal a failure is to close the
 	// caller's connection.
-	lastEvent string
-	begun     bool
-	// unflushed is how many bytes the server's buffer holds, writeFailed whether a
-	// write to the caller ran into its time limit.
+	lastEvent   string
+	answerBegun bool
+	// unflushed is the number of bytes in the server's buffer. writeFailed means that a write
+	// to the caller timed out.
 	unflushed   int
 	writeFailed bool
-	done        record
+	summary     requestSummary
 }
 
-// record is what the log line of a request says.
-type record struct {
+// requestSummary holds values for the log line of a request.
+type requestSummary struct {
 	target    string
 	status    int
 	fetchFrom string
@@ -96,8 +98,8 @@
 	kept      int
 	reason    placement.Reason
 	firstByte time.Duration
-	// firstEvent is when the first bytes of the answer's body were handed to the
-	// caller's connection, and delivered how many were in all.
+	// firstEvent is the time until the first bytes of the answer's body were written to the
+	// caller's connection, delivered the number of bytes written.
 	firstEvent time.Duration
 	delivered  int
 }
@@ -117,7 +119,7 @@
 	x.finish(err)
 }
 
-// prepare reads the request and decides where it may go.
+// prepare reads the request, matches its route and authorizes it.
 func (x *exchange) prepare() error {
 	var err error
 	if x.call, err = x.router.dialect.DecodeCall(x.req); err != nil {
@@ -130,27 +132,28 @@
 		return err
 	}
 	x.read = true
-	if x.router.conns.closes() {
+	if x.router.conns.isClosing() {
 		return problem.New(problem.Stopping, problem.RanNo, "").After(stopRetryAfter)
 	}
-	x.catalog = x.router.beliefs.Catalog()
-	_, x.revision = x.router.beliefs.Versions()
+	x.catalog = x.router.replica.Catalog()
+	_, x.revision = x.router.replica.Versions()
 	if err := x.matchRoute(); err != nil {
 		return err
 	}
 	return x.authorize()
 }
 
-// awaitCatalog waits for the configuration at a node that has just begun. Callers come
-// back only once or twice: one that is refused here may have had its last try.
+// awaitCatalog waits for the first configuration of a node that has just started. Callers retry
+// only once or twice, so a refusal here may be the response to a caller's last retry. It
+// reports whether the configuration is available.
 func (x *exchange) awaitCatalog() bool {
-	if x.router.beliefs.Catalog() != nil {
+	if x.router.replica.Catalog() != nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(x.req.Context(), startWait)
+	ctx, cancel := context.WithTimeout(x.req.Context(), configWait)
 	defer cancel()
 	select {
-	case <-x.router.beliefs.Begun():
+	case <-x.router.replica.Begun():
 		return true
 	case <-ctx.Done():
 		return false
@@ -158,7 +161,7 @@
 }
 
 func (x *exchange) readBody() error {
-	limit := x.router.beliefs.Catalog().Limits().MaxBodyBytes
+	limit := x.router.replica.Catalog().Limits().MaxBodyBytes
 	if x.req.Body == nil || x.req.ContentLength == 0 {
 		return nil
 	}
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// readAll reads all of r. length is what it announces, or -1.
+// readAll reads all of r. length is the announced number of bytes, or -1.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
@@ -223,8 +226,7 @@
 	return problem.New(problem.Unauthenticated, problem.RanNo, "")
 }
 
-// remaining returns how long the answer is still waited for; 0 means that
-// there is no limit.
+// remaining returns how long the answer is still waited for; 0 without expired means no limit.
 func (x *exchange) remaining() (left time.Duration, expired bool) {
 	if x.deadline.IsZero() {
 		return 0, false
@@ -233,7 +235,8 @@
 	return left, left <= 0
 }
 
-// workContext ends when the caller leaves or its deadline has passed.
+// workContext returns a context that ends when the caller disconnects or the deadline, plus
+// timeoutSlack, has passed.
 func (x *exchange) workContext() (context.Context, context.CancelFunc) {
 	if x.deadline.IsZero() {
 		return context.WithCancel(x.req.Context())
@@ -241,11 +244,11 @@
 	return context.WithDeadline(x.req.Context(), x.deadline.Add(timeoutSlack))
 }
 
-// finish answers a request that failed with err and writes its log line.
+// finish logs the request and, if it failed with err, writes the refusal.
 func (x *exchange) finish(err error) {
 	if err == nil {
-		x.limitWrite() // the server writes the end of a stream after this
-		x.logDone()
+		x.setWriteDeadline() // the server writes the end of a stream after this
+		x.logAnswered()
 		return
 	}
 	var p *problem.Problem
@@ -256,7 +259,7 @@
 		p = problem.New(problem.CallerGone, p.Ran, p.Detail)
 	}
 	x.logRefused(p)
-	if x.begun {
+	if x.answerBegun {
 		x.router.metrics.cuts.WithLabelValues(string(p.Reason)).Inc()
 		x.abort(p.Reason)
 	}
@@ -264,13 +267,13 @@
 	if p.Reason == problem.CallerGone {
 		x.abort(p.Reason)
 	}
-	x.limitConnection()
+	x.maybeSendConnectionClose()
 	x.router.dialect.WriteRefusal(x.w, p)
-	x.flushLast()
+	x.flushAnswer()
 }
 
-// recoverPanic is for faults of the program. Without it the line of net/http
-// would not name the request.
+// recoverPanic logs a panic of the handler with the request's ID, which the log line of
+// net/http does not contain, and panics again.
 func (x *exchange) recoverPanic() {
 	v := recover()
 	if v == nil {
@@ -283,30 +286,30 @@
 	panic(v)
 }
 
-func (x *exchange) logDone() {
+func (x *exchange) logAnswered() {
 	now := x.router.now()
-	x.router.metrics.answers.WithLabelValues(x.service, statusClass(x.done.status)).Inc()
-	x.router.metrics.whole.WithLabelValues(x.service).Observe(since(x.start, now))
+	x.router.metrics.answers.WithLabelValues(x.service, statusClass(x.summary.status)).Inc()
+	x.router.metrics.answerTime.WithLabelValues(x.service).Observe(since(x.start, now))
 	x.router.log.Info("answered", append(x.logFields(),
-		"status", x.done.status, "first_byte_ms", x.done.firstByte.Milliseconds(),
-		"first_event_ms", x.done.firstEvent.Milliseconds(), "delivered", x.done.delivered)...)
+		"status", x.summary.status, "first_byte_ms", x.summary.firstByte.Milliseconds(),
+		"first_event_ms", x.summary.firstEvent.Milliseconds(), "delivered", x.summary.delivered)...)
 }
 
 func (x *exchange) logRefused(p *problem.Problem) {
 	x.router.log.Warn("refused", append(x.logFields(),
-		"reason", p.Reason, "ran", p.Ran, "detail", p.Detail, "begun", x.begun,
-		"delivered", x.done.delivered, "first_byte_ms", x.done.firstByte.Milliseconds(),
+		"reason", p.Reason, "ran", p.Ran, "detail", p.Detail, "begun", x.answerBegun,
+		"delivered", x.summary.delivered, "first_byte_ms", x.summary.firstByte.Milliseconds(),
 		"retry_after_ms", p.RetryAfter.Milliseconds())...)
 }
 
-// logFields are the inputs that decided over the request.
+// logFields returns the log fields with the inputs of the routing decision.
 func (x *exchange) logFields() []any {
 	fields := []any{
 		"request", x.call.ID, "ms", x.router.now().Sub(x.start).Milliseconds(),
 		"deadline_ms", x.call.Deadline.Milliseconds(), "service", x.service, "workspace", x.workspace,
 		"revision", x.revision,
-		"tries", x.tries, "runs", x.runs, "target", x.done.target,
-		"running", x.done.running, "limit", x.done.limit, "kept", x.done.kept, "placed", x.done.reason,
+		"tries", x.tries, "runs", x.executions, "target", x.summary.target,
+		"running", x.summary.running, "limit", x.summary.limit, "kept", x.summary.kept, "placed", x.summary.reason,
 	}
 	if x.catalog != nil {
 		fields = append(fields, "catalog", x.catalog.Version())
@@ -318,10 +321,10 @@
 		fields = append(fields, "key", uint32(x.call.Parts[n-1].Hash), "shared", x.sharedTokens())
 	}
 	if x.hasFingerprint {
-		fields = append(fields, "fingerprint", x.knownFingerprint)
+		fields = append(fields, "fingerprint", x.cachedFingerprint)
 	}
-	if x.done.fetchFrom != "" {
-		fields = append(fields, "fetch_from", x.done.fetchFrom)
+	if x.summary.fetchFrom != "" {
+		fields = append(fields, "fetch_from", x.summary.fetchFrom)
 	}
 	return fields
 }
--- a/router/members.go
+++ b/router/members.go
@@ -11,60 +11,61 @@
 )
 
 const (
-	// weighedWhole is the number of members up to which each decision weighs a whole
-	// service. Beyond it, it weighs those that keep parts of the request's prompt, those
-	// in rankedBuckets of its key and sampleSize at random, which together are no more.
-	weighedWhole = 256
-	// rankedBuckets with up to bucketSize members each on average leave about ten members
-	// for each of six failure domains.
+	// maxFullScan is the number of members up to which each decision evaluates a complete
+	// service. In larger services it evaluates the members that keep parts of the request's
+	// prompt, those in rankedBuckets buckets of its key and sampleSize random ones; together
+	// these are no more than maxFullScan.
+	maxFullScan = 256
+	// rankedBuckets buckets of bucketSize members each on average leave about ten members for
+	// each of six failure domains.
 	rankedBuckets = 8
 	bucketSize    = 12
-	// sampleSize makes the error of an estimated mean load of 1 a twelfth.
+	// sampleSize gives an estimated mean load of 1 a standard error of a twelfth.
 	sampleSize = 128
 )
 
-// serviceMembers are the members of one service that may be weighed for a request. A
-// change of one costs a search and a move of pointers.
+// serviceMembers are the members of one service that may be evaluated for a request. Adding or
+// removing one costs a binary search and a move of pointers.
 type serviceMembers struct {
-	// list has them in any order.
+	// list holds the members in no particular order.
 	list []*member
-	// ring has them in the order of the hashes of their IDs, which all nodes share.
+	// ring holds them ordered by the hash of their IDs, an order that all nodes share.
 	ring []*member
-	// noted are those of which this node may have something to tell.
-	noted map[*member]struct{}
+	// reportable are the members that this node may have something to report about.
+	reportable map[*member]struct{}
 }
 
 func newServiceMembers() *serviceMembers {
-	return &serviceMembers{noted: make(map[*member]struct{})}
+	return &serviceMembers{reportable: make(map[*member]struct{})}
 }
 
 func (s *serviceMembers) add(m *member) {
-	m.service, m.at = s, len(s.list)
+	m.service, m.listIndex = s, len(s.list)
 	s.list = append(s.list, m)
 	at, _ := slices.BinarySearchFunc(s.ring, m, compareHash)
 	s.ring = slices.Insert(s.ring, at, m)
 	if m.running > 0 || m.state.Unreachable() {
-		m.note()
+		m.markReportable()
 	}
 }
 
-// remove takes a member out, and says whether the node may have something to tell of it.
-func (s *serviceMembers) remove(m *member) (noted bool) {
+// remove removes a member and reports whether it was reportable.
+func (s *serviceMembers) remove(m *member) (reportable bool) {
 	last := len(s.list) - 1
-	s.swap(m.at, last)
+	s.swap(m.listIndex, last)
 	s.list[last] = nil
 	s.list = s.list[:last]
 	at, _ := slices.BinarySearchFunc(s.ring, m, compareHash)
 	s.ring = slices.Delete(s.ring, at, at+1)
-	_, noted = s.noted[m]
-	delete(s.noted, m)
+	_, reportable = s.reportable[m]
+	delete(s.reportable, m)
 	m.service = nil
-	return noted
+	return reportable
 }
 
 func (s *serviceMembers) swap(i, j int) {
 	s.list[i], s.list[j] = s.list[j], s.list[i]
-	s.list[i].at, s.list[j].at = i, j
+	s.list[i].listIndex, s.list[j].listIndex = i, j
 }
 
 func compareHash(a, b *member) int {
@@ -74,26 +75,26 @@
 	return strings.Compare(a.target.ID, b.target.ID)
 }
 
-// note marks the member as one of which this node may have something to tell.
-func (m *member) note() {
+// markReportable records that this node may have something to report about the member.
+func (m *member) markReportable() {
 	if m.service != nil {
-		m.service.noted[m] = struct{}{}
+		m.service.reportable[m] = struct{}{}
 	}
 }
 
-// draw moves n members, chosen at random, to the start of the list and returns them.
-func (s *serviceMembers) draw(n int, rng *rand.Rand) []*member {
+// sample moves n random members to the start of the list and returns them.
+func (s *serviceMembers) sample(n int, rng *rand.Rand) []*member {
 	for i := range n {
 		s.swap(i, i+rng.IntN(len(s.list)-i))
 	}
 	return s.list[:n]
 }
 
-// eachRanked calls f for the members in the buckets of a key: those whose hashes begin
-// like one of the key's points. Each member is as likely to be among them as any other,
-// and whether it is depends on no other member, but for the number of buckets: so nodes
-// that know a few other members agree on nearly all of them.
-func (s *serviceMembers) eachRanked(key uint64, f func(*member)) {
+// eachInBuckets calls f for the members in the buckets of a key: those whose hashes share a
+// prefix with one of rankedBuckets points derived from the key. Each member is equally likely
+// to be among them, and whether it is depends on the other members only through the number of
+// buckets. Nodes whose lists differ by a few members therefore agree on nearly all of them.
+func (s *serviceMembers) eachInBuckets(key uint64, f func(*member)) {
 	shift := 64 - bucketBits(len(s.ring))
 	for i := range uint64(rankedBuckets) {
 		bucket := routing.Rank(key, i*goldenRatio) >> shift
@@ -106,36 +107,36 @@
 	}
 }
 
-// bucketBits returns the number of leading bits of a hash that tell its bucket.
+// bucketBits returns the number of leading bits of a hash that select its bucket.
 func bucketBits(members int) int { return bits.Len(uint((members - 1) / bucketSize)) }
 
 // goldenRatio spreads small numbers over 64 bits.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-// weighed is a member that a decision weighs, see placement.Candidate.
-type weighed struct {
+// candidate is a member that a decision evaluates; for the fields see placement.Candidate.
+type candidate struct {
 	*member
 	biased, unranked bool
 }
 
-// weighing collects the members that a decision weighs, each once.
-type weighing struct {
-	members []weighed
-	// turn tells the members of this decision from those of earlier ones.
-	turn uint64
+// candidateSet collects the members that a decision evaluates, without duplicates.
+type candidateSet struct {
+	members []candidate
+	// generation identifies the current decision, to detect members that were already added.
+	generation uint64
 }
 
-func (w *weighing) begin() {
-	w.turn++
+func (w *candidateSet) begin() {
+	w.generation++
 	w.members = w.members[:0]
 }
 
-func (w *weighing) add(m *member, biased, unranked bool) {
-	if m.turn == w.turn {
-		known := &w.members[m.place]
+func (w *candidateSet) add(m *member, biased, unranked bool) {
+	if m.generation == w.generation {
+		known := &w.members[m.index]
 		known.biased, known.unranked = known.biased && biased, known.unranked && unranked
 		return
 	}
-	m.turn, m.place = w.turn, len(w.members)
-	w.members = append(w.members, weighed{m, biased, unranked})
+	m.generation, m.index = w.generation, len(w.members)
+	w.members = append(w.members, candidate{m, biased, unranked})
 }
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -19,8 +19,8 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// manyTargets are those of one service in six failure domains.
-func manyTargets(n int) []roster.Target {
+// makeTargets returns n targets of one service in six failure domains.
+func makeTargets(n int) []roster.Target {
 	out := make([]roster.Target, n)
 	for i := range out {
 		id := fmt.Sprint("t", i)
@@ -32,19 +32,19 @@
 	return out
 }
 
-func prompts(key uint64) []affinity.Part {
+func promptOf(key uint64) []affinity.Part {
 	return []affinity.Part{{Hash: 1, Tokens: 500}, {Hash: routing.Hash(fmt.Sprint("prompt ", key)), Tokens: 4000}}
 }
 
-// bytesPerDecision is what one decision and its end allocate.
+// bytesPerDecision returns how many bytes one decision and its release allocate.
 func bytesPerDecision(p *testPool, parts []affinity.Part) int {
 	const decisions = 200
 	decide := func() {
-		l, _, _ := p.acquire(want{service: service, parts: parts})
+		l, _, _ := p.acquire(criteria{service: service, parts: parts})
 		p.release(l, true)
 	}
 	for range decisions {
-		decide() // the scratch has grown by then
+		decide() // grow the scratch buffers first
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -55,32 +55,33 @@
 	return int(after.TotalAlloc-before.TotalAlloc) / decisions
 }
 
-// A decision among many targets weighs and allocates as much as one among a few hundred.
+// A decision among many targets evaluates no more of them, and allocates no more, than one
+// among a few hundred.
 func TestCostOfADecision(t *testing.T) {
-	const aim = 4 << 10 // bytes
+	const maxBytes = 4 << 10
 	for _, targets := range []int{12, 192, 1000, 10_002, 20_004} {
-		for name, parts := range map[string][]affinity.Part{"key": prompts(3), "no key": nil} {
+		for name, parts := range map[string][]affinity.Part{"key": promptOf(3), "no key": nil} {
 			t.Run(fmt.Sprint(targets, " ", name), func(t *testing.T) {
-				p := newTestPool(manyTargets(targets)...)
+				p := newTestPool(makeTargets(targets)...)
 				p.settle()
 				bytes := bytesPerDecision(p, parts)
-				weighed := len(p.weighing.members)
-				t.Log(weighed, "weighed,", bytes, "bytes")
+				evaluated := len(p.candidates.members)
+				t.Log(evaluated, "evaluated,", bytes, "bytes")
 				is := is.New(t)
-				is.True(weighed <= weighedWhole)
+				is.True(evaluated <= maxFullScan)
 				p.fillReport(&heartbeat.Report{}, p.now())
-				is.Equal(len(p.services[service].noted), 0) // those that decisions and reports go through
-				is.True(bytes <= aim)
+				is.Equal(len(p.services[service].reportable), 0) // decisions and reports iterate over these
+				is.True(bytes <= maxBytes)
 			})
 		}
 	}
 }
 
-// News of one target costs a node the same however many it knows.
-func TestCostOfNewsOfATarget(t *testing.T) {
+// The cost of an update of one target does not depend on the number of targets.
+func TestCostOfATargetUpdate(t *testing.T) {
 	cost := func(targets int) float64 {
-		p := newTestPool(manyTargets(targets)...)
-		changed := manyTargets(8)[7]
+		p := newTestPool(makeTargets(targets)...)
+		changed := makeTargets(8)[7]
 		return testing.AllocsPerRun(100, func() {
 			changed.Slots++
 			p.put(changed)
@@ -90,22 +91,22 @@
 	is.True(cost(20_004) <= cost(12))
 }
 
-// Nodes that learnt of the targets in another order choose the same one for a new key,
-// and one that is gone or new changes the choice for few keys.
+// Nodes that learned of the targets in different orders choose the same one for a new key, and
+// added or removed targets change the choice for few keys.
 func TestNodesAgreeOnTheTargetOfANewKey(t *testing.T) {
 	const targets, keys = 3000, 200
 	is := is.New(t)
-	list := manyTargets(targets)
+	list := makeTargets(targets)
 	reversed := slices.Clone(list)
 	slices.Reverse(reversed)
-	// A tenth of the targets is gone on the last node.
+	// The last node does not have a tenth of the targets.
 	nodes := []*testPool{newTestPool(list...), newTestPool(reversed...), newTestPool(list[targets/10:]...)}
 	moved, left := 0, 0
 	chosen := make(map[string]bool)
 	for key := range uint64(keys) {
 		var got [3]string
 		for i, p := range nodes {
-			l, _, ok := p.acquire(want{service: service, parts: prompts(key)[1:]})
+			l, _, ok := p.acquire(criteria{service: service, parts: promptOf(key)[1:]})
 			is.True(ok)
 			got[i] = l.target.ID
 			p.release(l, true)
@@ -120,48 +121,48 @@
 	}
 	t.Logf("%d targets of %d keys; %d keys lost theirs, %d others moved", len(chosen), keys, left, moved)
 	is.True(len(chosen) > keys*3/4)
-	is.True(moved <= keys/10) // no larger a part than of the targets
+	is.True(moved <= keys/10) // no larger a share than that of the missing targets
 }
 
-// However few targets of a large service may get work, a request finds one of them.
-func TestOneTargetLeftOfMany(t *testing.T) {
+// A request finds an eligible target of a large service, even if it is the only one.
+func TestOnlyEligibleTargetOfManyIsFound(t *testing.T) {
 	is := is.New(t)
-	list := manyTargets(2000)
+	list := makeTargets(2000)
 	for i := range list {
 		list[i].Draining = i != 1234
 	}
 	p := newTestPool(list...)
 	l := p.take(t)
 	is.Equal(l.target.ID, "t1234")
-	is.True(p.hasOther(want{service: service, tried: []string{"t1"}}))
-	is.True(!p.hasOther(want{service: service, tried: []string{"t1234"}}))
+	is.True(p.hasOther(criteria{service: service, tried: []string{"t1"}}))
+	is.True(!p.hasOther(criteria{service: service, tried: []string{"t1234"}}))
 }
 
-// A target that this node can't reach is tried again, however seldom it is weighed.
-func TestTargetOfManyIsTriedAgain(t *testing.T) {
+// A target that this node cannot reach is probed again even if decisions rarely evaluate it.
+func TestUnreachableTargetOfManyIsProbedAgain(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(manyTargets(2000)...)
+	p := newTestPool(makeTargets(2000)...)
 	tried := make(chan string, 1)
-	p.try = func(addr string) error {
+	p.dial = func(addr string) error {
 		tried <- addr
 		return nil
 	}
 	p.observe(p.members["t7"], health.Unreachable)
-	p.at = p.at.Add(p.healthConfig.MaxTrial)
+	p.clock = p.clock.Add(p.healthConfig.MaxTrial)
 	p.take(t)
 	is.Equal(<-tried, "10.0.0.1:80")
 }
 
-// sizeRun is what a run of the model of a large service showed.
-type sizeRun struct {
+// scaleResult is the result of a simulation of a large service.
+type scaleResult struct {
 	requests, over, kept int
-	// worst is the most that a target had, over the mean.
+	// worst is the maximum number of requests at a target, relative to the mean.
 	worst float64
 }
 
-// playSize plays 40 nodes that send requests of many keys, some of them hot, to a service
-// of many targets, with counts as old as those of a large fleet.
-func playSize(targets, whole int, load float64, seed uint64) sizeRun {
+// simulateScale simulates 40 nodes that send requests with many keys, some of them hot, to a
+// service with many targets, with counts as old as those in a large fleet.
+func simulateScale(targets, whole int, load float64, seed uint64) scaleResult {
 	const (
 		nodes, keys = 40, 2000
 		skew        = 0.3
@@ -170,21 +171,21 @@
 		run, warm   = 6 * time.Second, 2 * time.Second
 		interval    = 700 * time.Millisecond
 	)
-	f := newSimFleet(nodes, manyTargets(targets), interval, seed)
+	f := newSimFleet(nodes, makeTargets(targets), interval, seed)
 	for _, n := range f.nodes {
-		n.weighedWhole = whole
+		n.fullScanLimit = whole
 	}
 	rng := rand.New(rand.NewPCG(seed, 5))
 	running := make(map[string]int)
 	perStep := load * float64(targets) * step.Seconds() / lasts.Seconds()
 	ends := make(map[time.Time][]simEnd)
 	nodeOf := make(map[*member]*simNode)
-	var out sizeRun
+	var out scaleResult
 	begun, next, due := f.now, f.now, 0.0
 	for f.now.Sub(begun) < run {
 		for _, e := range ends[f.now] {
-			running[e.lease.target.ID]--
-			nodeOf[e.lease.member].release(e.lease, true)
+			running[e.assignment.target.ID]--
+			nodeOf[e.assignment.member].release(e.assignment, true)
 		}
 		delete(ends, f.now)
 		if !f.now.Before(next) {
@@ -194,7 +195,7 @@
 		for due += perStep; due >= 1; due-- {
 			n := f.nodes[rng.IntN(nodes)]
 			key := uint64(keys * math.Pow(rng.Float64(), 1/(1-skew)))
-			l, _, ok := n.acquire(want{service: service, parts: prompts(key)})
+			l, _, ok := n.acquire(criteria{service: service, parts: promptOf(key)})
 			if !ok {
 				continue
 			}
@@ -218,29 +219,30 @@
 	return out
 }
 
-// A few hundred of a service's targets are as good to choose from as all of them: as few
-// requests reach one over the load bound, and as many one that keeps their parts.
-func TestChoiceAmongSomeIsAsGoodAsAmongAll(t *testing.T) {
+// Choosing among a few hundred of a service's targets is as good as choosing among all of them:
+// no more requests reach a target above its load bound, and no fewer reach one that keeps their
+// parts.
+func TestSampledChoiceIsAsGoodAsFullScan(t *testing.T) {
 	if testing.Short() {
 		t.Skip("the model plays all targets for each decision")
 	}
 	const seeds = 2
 	for _, load := range []float64{0.1, 0.3} {
-		var some, all sizeRun
+		var some, all scaleResult
 		for seed := range uint64(seeds) {
-			some.add(playSize(1000, weighedWhole, load, seed))
-			all.add(playSize(1000, 1<<30, load, seed))
+			some.add(simulateScale(1000, maxFullScan, load, seed))
+			all.add(simulateScale(1000, 1<<30, load, seed))
 		}
 		t.Logf("load %.1f: some %+v, all %+v", load, some, all)
 		is := is.New(t)
-		share := func(n int, r sizeRun) float64 { return float64(n) / float64(r.requests) }
-		is.True(share(some.over, some) <= 0.03) // the rule's bound
+		share := func(n int, r scaleResult) float64 { return float64(n) / float64(r.requests) }
+		is.True(share(some.over, some) <= 0.03) // the specified limit
 		is.True(share(some.over, some) <= share(all.over, all)+0.005)
 		is.True(share(some.kept, some) >= share(all.kept, all)-0.02)
 	}
 }
 
-func (r *sizeRun) add(o sizeRun) {
+func (r *scaleResult) add(o scaleResult) {
 	r.requests += o.requests
 	r.over += o.over
 	r.kept += o.kept
@@ -250,22 +252,22 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, targets := range []int{12, 192, 1000, 10_002, 20_004} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			p := newTestPool(manyTargets(targets)...)
+			p := newTestPool(makeTargets(targets)...)
 			p.settle()
 			b.ReportAllocs()
 			for b.Loop() {
-				l, _, _ := p.acquire(want{service: service, parts: prompts(3)})
+				l, _, _ := p.acquire(criteria{service: service, parts: promptOf(3)})
 				p.release(l, true)
 			}
 		})
 	}
 }
 
-func BenchmarkNewsOfATarget(b *testing.B) {
+func BenchmarkTargetUpdate(b *testing.B) {
 	for _, targets := range []int{12, 192, 1000, 10_002, 20_004} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			p := newTestPool(manyTargets(targets)...)
-			changed := manyTargets(8)[7]
+			p := newTestPool(makeTargets(targets)...)
+			changed := makeTargets(8)[7]
 			b.ReportAllocs()
 			for b.Loop() {
 				changed.Slots++
--- a/router/memory.go
+++ b/router/memory.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	// noteInterval is the time between two notes of which targets keep which
-	// parts. A write and the watchers that it wakes are four priced calls, and
-	// parts stay in use for about 10 s.
+	// noteInterval is the time between two notes on which targets keep which parts. One write
+	// with the watch events that it causes amounts to four billed store calls, and parts stay
+	// in use for about 10 s.
 	noteInterval = 5 * time.Second
-	// notePause is the least time between two notes on quarantines, and dutyPoll between
-	// two looks whether this node writes them.
-	notePause = time.Second
-	dutyPoll  = 200 * time.Millisecond
-	// maxNoted is the most uses in a note, about 12 bytes each.
-	maxNoted = 20_000
+	// notePause is the minimum time between two notes that are written because of quarantines.
+	// writerPoll is the time between two checks whether this node is the note's writer.
+	notePause  = time.Second
+	writerPoll = 200 * time.Millisecond
+	// maxUsesPerNote is the maximum number of uses in a note, about 12 bytes each.
+	maxUsesPerNote = 20_000
 )
 
-// note is what outlasts all nodes.
-type note struct {
+// fleetNote is the state that survives a simultaneous restart of all nodes. It is stored as one
+// value.
+type fleetNote struct {
 	_ struct{} `cbor:",toarray"`
-	// Uses say which targets keep which prompt parts: without them, the first seconds
-	// after all nodes died at once read again what engines keep.
+	// Uses record which targets keep which prompt parts. Without them, engines would recompute
+	// the parts they already keep during the first seconds after all nodes failed at once.
 	Uses []affinity.Use
-	// Quarantined are the requests that are kept from targets: without them, they would
-	// end as many targets again.
+	// Quarantined are the requests in quarantine. Without them, they would terminate as many
+	// targets again.
 	Quarantined []quarantine.Record
 }
 
-// keepNotes has one node of the fleet note what must outlast all nodes.
-func (r *Router) keepNotes(ctx context.Context) {
+// saveNotes writes the note at regular intervals, on one node of the fleet.
+func (r *Router) saveNotes(ctx context.Context) {
 	pause.Every(ctx, noteInterval, func(ctx context.Context) { r.saveNote(ctx) })
 }
 
-// saveNote writes the note if that is this node's duty. It returns whether it is.
+// saveNote writes the note if this node is its writer, and reports whether it is.
 func (r *Router) saveNote(ctx context.Context) bool {
-	if !r.beliefs.Leads() || r.draining.Load() {
+	if !r.replica.Leads() || r.draining.Load() {
 		return false
 	}
-	raw, err := cbor.Marshal(note{Uses: r.pool.recentUses(), Quarantined: r.guard.Note()})
+	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Note()})
 	if err != nil {
-		r.log.Error("note not encoded", "err", err)
+		r.log.Error("encoding the note failed", "err", err)
 		return true
 	}
-	if err := r.beliefs.SaveNote(ctx, raw); err != nil {
-		r.log.Warn("note not saved; the next one replaces it", "err", err)
+	if err := r.replica.SaveNote(ctx, raw); err != nil {
+		r.log.Warn("saving the note failed; the next one will replace it", "err", err)
 	}
 	return true
 }
 
-// saveQuarantines has a note written as soon as a request is put into quarantine: all
-// nodes may end before the next one is due.
+// saveQuarantines writes a note as soon as a request is put into quarantine, since all nodes
+// may fail before the next regular note.
 func (r *Router) saveQuarantines(ctx context.Context) {
 	for {
 		select {
@@ -69,34 +70,34 @@
 	}
 }
 
-// saveSoon waits for this node to have the duty, which is without a holder for moments
-// after a start. Until the next usual note some node has it.
+// saveSoon waits until this node is the note's writer: for a moment after a start no node is.
+// It gives up after noteInterval, by which time some node has written a regular note.
 func (r *Router) saveSoon(ctx context.Context) {
-	for range noteInterval / dutyPoll {
+	for range noteInterval / writerPoll {
 		if r.saveNote(ctx) {
 			pause.Sleep(ctx, notePause)
 			return
 		}
-		pause.Sleep(ctx, dutyPoll)
+		pause.Sleep(ctx, writerPoll)
 	}
 }
 
-// wantNote has a note written soon. It doesn't block.
-func (r *Router) wantNote() {
+// requestNote requests that a note be written soon. It does not block.
+func (r *Router) requestNote() {
 	select {
 	case r.noteDue <- struct{}{}:
-	default: // one is due already
+	default: // already requested
 	}
 }
 
-// readNote takes the note that the node found when it began.
+// readNote applies the note that the node read from the store when it started.
 func (r *Router) readNote(raw []byte) {
-	var n note
+	var n fleetNote
 	if err := cbor.Unmarshal(raw, &n); err != nil {
-		r.log.Warn("note in the store is unusable; it is left aside", "err", err)
+		r.log.Warn("note in the store is unusable and is ignored", "err", err)
 		return
 	}
 	r.log.Info("note read", "uses", len(n.Uses), "quarantined", len(n.Quarantined))
-	r.pool.takeUses(n.Uses)
+	r.pool.recordUses(n.Uses)
 	r.guard.Hear("note", n.Quarantined)
 }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -10,8 +10,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// latencyBuckets are in seconds, from a round trip within a zone to the
-// longest usual deadline.
+// latencyBuckets are in seconds, from a round trip within a zone to the longest usual deadline.
 var latencyBuckets = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8, 16}
 
 type metrics struct {
@@ -19,19 +18,20 @@
 	refusals *prometheus.CounterVec
 	retries  *prometheus.CounterVec
 	cuts     *prometheus.CounterVec
-	// unanswered counts requests whose connection ended without a byte of an answer.
+	// unanswered counts requests whose connection ended before a byte of the answer was
+	// delivered.
 	unanswered *prometheus.CounterVec
-	// overdue counts attempts that got nothing from their target for too long.
+	// overdue counts attempts whose target sent nothing for too long.
 	overdue *prometheus.CounterVec
-	// notices counts what targets said of themselves that was news.
+	// notices counts targets' notices that contained something new.
 	notices *prometheus.CounterVec
-	// connections counts callers' connections that the node ended.
+	// connections counts callers' connections that the node closed.
 	connections *prometheus.CounterVec
-	// parts counts the tokens of shared parts that a target had to get.
-	parts     *prometheus.CounterVec
-	firstByte *prometheus.HistogramVec
-	whole     *prometheus.HistogramVec
-	inFlight  prometheus.Gauge
+	// partTokens counts the tokens of shared parts that the chosen target lacked.
+	partTokens *prometheus.CounterVec
+	firstByte  *prometheus.HistogramVec
+	answerTime *prometheus.HistogramVec
+	inFlight   prometheus.Gauge
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -52,22 +52,22 @@
 			notice.Help, notice.Label),
 		connections: f.Counters("connections_ended_total",
 			"Callers' connections ended for want of descriptors: idle ones evicted for new ones, new ones rejected.", "how"),
-		parts: f.Counters("part_tokens_total",
+		partTokens: f.Counters("part_tokens_total",
 			"Tokens of shared parts that the chosen target lacked, by how it got them and by the reason of the choice.", "how", "reason"),
-		firstByte: histogram("first_byte_seconds", "Time from a request to the header of its answer."),
-		whole:     histogram("answer_seconds", "Time from a request to the end of its answer."),
-		inFlight:  f.Gauge("in_flight", "Callers' requests in progress."),
+		firstByte:  histogram("first_byte_seconds", "Time from a request to the header of its answer."),
+		answerTime: histogram("answer_seconds", "Time from a request to the end of its answer."),
+		inFlight:   f.Gauge("in_flight", "Callers' requests in progress."),
 	}
 }
 
-// notePlaced counts the shared tokens that the chosen target lacks: those it
-// fetches from another and those it reads.
-func (m *metrics) notePlaced(c placement.Choice, shared int) {
+// countPartTokens counts the shared tokens that the chosen target lacks: those that it fetches
+// from another target and those that it reads from the prompt.
+func (m *metrics) countPartTokens(c placement.Choice, shared int) {
 	if read := shared - c.Kept - c.Fetched; read > 0 {
-		m.parts.WithLabelValues("read", string(c.Reason)).Add(float64(read))
+		m.partTokens.WithLabelValues("read", string(c.Reason)).Add(float64(read))
 	}
 	if c.Fetched > 0 {
-		m.parts.WithLabelValues("fetched", string(c.Reason)).Add(float64(c.Fetched))
+		m.partTokens.WithLabelValues("fetched", string(c.Reason)).Add(float64(c.Fetched))
 	}
 }
 
--- a/router/notices.go
+++ b/router/notices.go
@@ -7,7 +7,8 @@
 	"github.com/knapweedgw/knapweedgw/roster"
 )
 
-// runOf names a run of a target among the notices.
+// runOf returns the key of a target's current run, from one start to the next, in the notice
+// book.
 func runOf(t *roster.Target) notice.Run {
 	r := notice.Run{Target: t.ID}
 	if !t.Started.IsZero() {
@@ -16,62 +17,63 @@
 	return r
 }
 
-// hearNotice takes what the target of a lease said of itself.
-func (p *pool) hearNotice(l lease, n notice.Notice) notice.Change {
+// recordNotice records a notice from the assigned target.
+func (p *pool) recordNotice(a assignment, n notice.Notice) notice.Change {
 	if n == (notice.Notice{}) {
 		return notice.Change{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	run := runOf(l.target)
-	said, change := p.notices.Hear(run, n, p.now(), p.rng)
-	l.member.said = said
-	// The target may have left and come back since it was chosen.
+	run := runOf(a.target)
+	state, change := p.notices.Hear(run, n, p.now(), p.rng)
+	a.member.notices = state
+	// The target may have been removed and added again since it was chosen.
 	if m, ok := p.members[run.Target]; ok && runOf(m.target) == run {
-		m.said = said
+		m.notices = state
 	}
 	return change
 }
 
-// maySend says whether a request that was meant for a target may still go there. It is
-// asked when the connection is ready, which may be long after the target was chosen.
+// maySend reports whether a request may still be sent to the target. It is called when the
+// connection is ready, which may be long after the target was chosen.
 func (p *pool) maySend(t *roster.Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.notices.State(runOf(t)).MaySend(p.now())
 }
 
-// restFor returns how long it is until the first target may be sent to of those that a
-// request could go to, 0 if one of them doesn't rest or there is none.
-func (p *pool) restFor(w want) time.Duration {
+// shortestRest returns the time until the first of the eligible targets that asked for a pause
+// accepts requests again; 0 if one of them did not ask for a pause or there is none.
+func (p *pool) shortestRest(crit criteria) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	var least time.Duration
-	for _, c := range p.weighAll(w, now).All() {
+	var shortest time.Duration
+	for _, c := range p.evaluateAll(crit, now).All() {
 		if c.Barred() {
 			continue
 		}
 		if !c.Resting {
 			return 0
 		}
-		if rest := p.members[c.ID].said.RestFor(now); least == 0 || rest < least {
-			least = rest
+		if rest := p.members[c.ID].notices.RestFor(now); shortest == 0 || rest < shortest {
+			shortest = rest
 		}
 	}
-	return least
+	return shortest
 }
 
-// heed takes what an answer says of its target, before anything is decided on the answer.
-func (x *exchange) heed(l lease, reply Reply, status int) {
-	if !reply.isOwn(status, x.call.ID) {
+// recordNotice records and logs the notice in an answer, before anything is decided on the
+// answer.
+func (x *exchange) recordNotice(a assignment, reply Reply, status int) {
+	if !reply.isFromTarget(status, x.call.ID) {
 		return
 	}
-	change := x.router.pool.hearNotice(l, reply.Notice)
+	change := x.router.pool.recordNotice(a, reply.Notice)
 	if change == (notice.Change{}) {
 		return
 	}
-	log := x.router.log.With("target", l.target.ID, "started", l.target.Started, "request", x.call.ID,
+	log := x.router.log.With("target", a.target.ID, "started", a.target.Started, "request", x.call.ID,
 		"status", status, "sent_ms_ago", x.router.now().Sub(x.sentAt).Milliseconds())
 	notice.Report(log, x.router.metrics.notices, reply.Notice, change)
 }
--- a/router/notices_sim_test.go
+++ b/router/notices_sim_test.go
@@ -20,8 +20,7 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// simFleet is a fleet of pools on virtual time that tell each other at an interval what
-// each runs and saw.
+// simFleet is a fleet of pools on virtual time that exchange reports at a fixed interval.
 type simFleet struct {
 	nodes    []*simNode
 	interval time.Duration
@@ -33,20 +32,20 @@
 // simNode is a node of the fleet.
 type simNode struct {
 	*pool
-	fleet *simFleet
-	told  map[uint32]heartbeat.Sum // by this node
-	ends  []simEnd
+	fleet    *simFleet
+	reported map[uint32]heartbeat.Sum // in this node's last report
+	ends     []simEnd
 }
 
-// simEnd is the end of a request.
+// simEnd is the scheduled end of a request.
 type simEnd struct {
-	at    time.Time
-	lease lease
+	at         time.Time
+	assignment assignment
 }
 
 func (n *simNode) Targets(hashes []uint64, f func(i int, s heartbeat.Sum)) {
 	for i, h := range hashes {
-		all, own := n.fleet.sums[uint32(h)], n.told[uint32(h)]
+		all, own := n.fleet.sums[uint32(h)], n.reported[uint32(h)]
 		f(i, heartbeat.Sum{
 			Running: all.Running - own.Running,
 			Counts: health.Counts{
@@ -77,7 +76,7 @@
 	return f
 }
 
-// report has all nodes tell each other.
+// report exchanges the reports of all nodes.
 func (f *simFleet) report() {
 	f.sums = make(map[uint32]heartbeat.Sum)
 	var uses []affinity.Use
@@ -85,48 +84,48 @@
 		var r heartbeat.Report
 		n.fillReport(&r, f.now)
 		uses = append(uses, r.Uses...)
-		n.told = make(map[uint32]heartbeat.Sum)
+		n.reported = make(map[uint32]heartbeat.Sum)
 		for _, t := range r.Targets {
-			n.told[t.Target] = heartbeat.Sum{
+			n.reported[t.Target] = heartbeat.Sum{
 				Running: int(t.Running), Counts: health.Counts{Answered: int(t.Answered), Failed: int(t.Failed)},
 			}
 			sum := f.sums[t.Target]
 			sum.Running += int(t.Running)
-			sum.Counts = sum.Counts.Plus(n.told[t.Target].Counts)
+			sum.Counts = sum.Counts.Plus(n.reported[t.Target].Counts)
 			f.sums[t.Target] = sum
 		}
 	}
 	for _, n := range f.nodes {
-		n.takeUses(uses)
+		n.recordUses(uses)
 	}
 }
 
-// simSite is a service in the simulation.
-type simSite struct {
+// simScenario is a simulated service.
+type simScenario struct {
 	nodes, targets int
 	perSecond      float64
 	interval       time.Duration
-	// affected of the targets shed this part of their requests, or leave.
+	// affected is the number of targets that shed the given share of their requests or leave.
 	affected int
 	shed     float64
 }
 
 const (
 	simStep     = 5 * time.Millisecond
-	simRun      = 12 * time.Second
-	simWarm     = time.Second
+	simDuration = 12 * time.Second
+	simWarmUp   = time.Second
 	simRequest  = 300 * time.Millisecond
 	simRest     = 3 * time.Second
 	simAttempts = 4
 )
 
-var simSites = map[string]simSite{
+var simScenarios = map[string]simScenario{
 	"small plain service": {nodes: 8, targets: 3, perSecond: 30, interval: 200 * time.Millisecond, affected: 1, shed: 0.6},
 	"model service":       {nodes: 8, targets: 18, perSecond: 160, interval: 200 * time.Millisecond, affected: 5, shed: 0.6},
 	"grown fleet":         {nodes: 91, targets: 60, perSecond: 600, interval: time.Second, affected: 15, shed: 0.6},
 }
 
-func (s simSite) list() []roster.Target {
+func (s simScenario) list() []roster.Target {
 	var out []roster.Target
 	for i := range s.targets {
 		id := fmt.Sprint("t", i)
@@ -136,27 +135,28 @@
 	return out
 }
 
-// simResult is what a run showed.
+// simResult is the result of a simulation.
 type simResult struct {
-	requests, turnedAway, unserved int
-	// reached are the arrivals at affected targets, atEnd those in the last second.
+	requests, refused, unserved int
+	// reached is the number of requests that arrived at affected targets, atEnd that of the
+	// last second.
 	reached, atEnd int
-	// late are the rests within which a target got over two requests from the node that
-	// it had asked, after the first half second.
+	// late is the number of rests during which, after the first half second, a target got more
+	// than two requests from the node that it had asked for the rest.
 	late int
 }
 
-// play sends requests to the nodes. arrive says whether a target takes one, and what it
-// says; hear is what the node makes of that.
-func (s simSite) play(seed uint64, arrive func(f *simFleet, t *roster.Target) (bool, notice.Notice),
-	hear func(f *simFleet, n *simNode, l lease, taken bool, said notice.Notice)) simResult {
+// simulate sends requests to the nodes. respond decides whether a target accepts one and which
+// notice it answers; handle processes that answer at the node.
+func (s simScenario) simulate(seed uint64, respond func(f *simFleet, t *roster.Target) (bool, notice.Notice),
+	handle func(f *simFleet, n *simNode, l assignment, accepted bool, announced notice.Notice)) simResult {
 	f := newSimFleet(s.nodes, s.list(), s.interval, seed)
 	var out simResult
-	rests := make(map[string][]time.Time) // arrivals in a rest, after its first half second
+	rests := make(map[string][]time.Time) // arrivals during a rest, after its first half second
 	until := make(map[string]time.Time)
 	nextReport := f.now
 	due := 0.0
-	for end := f.now.Add(simRun); f.now.Before(end); f.now = f.now.Add(simStep) {
+	for end := f.now.Add(simDuration); f.now.Before(end); f.now = f.now.Add(simStep) {
 		if !f.now.Before(nextReport) {
 			f.report()
 			nextReport = nextReport.Add(s.interval)
@@ -171,14 +171,14 @@
 			var tried []string
 			served := false
 			for range simAttempts {
-				l, _, ok := n.acquire(want{service: service, tried: tried})
+				l, _, ok := n.acquire(criteria{service: service, tried: tried})
 				if !ok {
 					break
 				}
 				key := fmt.Sprint(i, l.target.ID)
 				if slices.Contains(s.affectedIDs(), l.target.ID) {
 					out.reached++
-					if f.now.After(start.Add(simRun - time.Second)) {
+					if f.now.After(start.Add(simDuration - time.Second)) {
 						out.atEnd++
 					}
 				}
@@ -187,17 +187,17 @@
 						out.late++
 					}
 				}
-				taken, said := arrive(f, l.target)
-				if said.Rest > 0 && !f.now.Before(until[key]) {
-					until[key], rests[key] = f.now.Add(said.Rest), nil
+				accepted, announced := respond(f, l.target)
+				if announced.Rest > 0 && !f.now.Before(until[key]) {
+					until[key], rests[key] = f.now.Add(announced.Rest), nil
 				}
-				hear(f, n, l, taken, said)
-				if taken {
+				handle(f, n, l, accepted, announced)
+				if accepted {
 					n.ends = append(n.ends, simEnd{f.now.Add(simRequest), l})
 					served = true
 					break
 				}
-				out.turnedAway++
+				out.refused++
 				n.release(l, false)
 				tried = append(tried, l.target.ID)
 			}
@@ -209,7 +209,7 @@
 	return out
 }
 
-func (s simSite) affectedIDs() []string {
+func (s simScenario) affectedIDs() []string {
 	var out []string
 	for i := range s.affected {
 		out = append(out, fmt.Sprint("t", i))
@@ -223,25 +223,26 @@
 		if now.Before(e.at) {
 			return false
 		}
-		n.release(e.lease, true)
-		n.observe(e.lease.member, health.Answered)
+		n.release(e.assignment, true)
+		n.observe(e.assignment.member, health.Answered)
 		return true
 	})
 }
 
-// Targets that shed requests and ask for rest get no more than is allowed, whether health
-// counts their refusals or not; the log shows what the refusals cost in both ways.
-func TestRestsAreKeptByAFleet(t *testing.T) {
-	for name, s := range simSites {
+// Targets that shed requests and ask for a rest get no more requests than allowed, whether or
+// not refusals count as failures in the health state. The test logs what the refusals cost in
+// both cases.
+func TestFleetHonorsRests(t *testing.T) {
+	for name, s := range simScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, counts := range []bool{true, false} {
 				for seed := range uint64(3) {
-					r := s.play(seed, s.sheds, func(_ *simFleet, n *simNode, l lease, taken bool, said notice.Notice) {
-						if !taken && counts {
+					r := s.simulate(seed, s.shedRequest, func(_ *simFleet, n *simNode, l assignment, accepted bool, announced notice.Notice) {
+						if !accepted && counts {
 							n.observe(l.member, health.Refused)
 						}
-						n.hearNotice(l, said)
+						n.recordNotice(l, announced)
 					})
 					t.Logf("health counts refusals: %v, seed %d: %+v", counts, seed, r)
 					if r.late > 0 {
@@ -253,34 +254,35 @@
 	}
 }
 
-func (s simSite) sheds(f *simFleet, t *roster.Target) (bool, notice.Notice) {
+func (s simScenario) shedRequest(f *simFleet, t *roster.Target) (bool, notice.Notice) {
 	since := f.now.Sub(start)
-	if since < simWarm || !slices.Contains(s.affectedIDs(), t.ID) || f.rng.Float64() >= s.shed {
+	if since < simWarmUp || !slices.Contains(s.affectedIDs(), t.ID) || f.rng.Float64() >= s.shed {
 		return true, notice.Notice{}
 	}
 	return false, notice.Notice{Rest: simRest}
 }
 
-// A node sends nothing to targets that it has heard to leave, and each hears it by itself;
-// the log shows how many requests reach them so, and if the first to hear told the others.
-func TestLeavingIsHeardByEachNode(t *testing.T) {
-	for name, s := range simSites {
+// A node sends no requests to targets that announced to it that they leave, and each node
+// learns this only from an answer to itself. The test logs how many requests reach such
+// targets, and how many if the first node to learn it informed the others.
+func TestEachNodeLearnsThatATargetLeaves(t *testing.T) {
+	for name, s := range simScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, tell := range []bool{false, true} {
+			for _, broadcast := range []bool{false, true} {
 				for seed := range uint64(3) {
 					heard := make(map[string]int)
-					r := s.play(seed, s.leaves, func(f *simFleet, n *simNode, l lease, _ bool, said notice.Notice) {
-						if !said.Leaving {
+					r := s.simulate(seed, s.announceLeaving, func(f *simFleet, n *simNode, l assignment, _ bool, announced notice.Notice) {
+						if !announced.Leaving {
 							return
 						}
 						heard[fmt.Sprintf("%p %s", n, l.target.ID)]++
-						n.hearNotice(l, said)
-						if tell {
-							f.tell(l.target, said)
+						n.recordNotice(l, announced)
+						if broadcast {
+							f.broadcast(l.target, announced)
 						}
 					})
-					t.Logf("told to others: %v, seed %d: %+v", tell, seed, r)
+					t.Logf("told to others: %v, seed %d: %+v", broadcast, seed, r)
 					for at, times := range heard {
 						if times > 1 {
 							t.Errorf("seed %d: %d requests from %s", seed, times, at)
@@ -292,14 +294,14 @@
 	}
 }
 
-func (s simSite) leaves(f *simFleet, t *roster.Target) (bool, notice.Notice) {
-	gone := f.now.Sub(start) >= simWarm && slices.Contains(s.affectedIDs(), t.ID)
+func (s simScenario) announceLeaving(f *simFleet, t *roster.Target) (bool, notice.Notice) {
+	gone := f.now.Sub(start) >= simWarmUp && slices.Contains(s.affectedIDs(), t.ID)
 	return true, notice.Notice{Leaving: gone}
 }
 
-// tell has all nodes hear a notice at once, which no real news is as fast as.
-func (f *simFleet) tell(t *roster.Target, said notice.Notice) {
+// broadcast passes a notice to all nodes at once, which is faster than any real propagation.
+func (f *simFleet) broadcast(t *roster.Target, announced notice.Notice) {
 	for _, n := range f.nodes {
-		n.hearNotice(lease{member: n.members[t.ID], target: t}, said)
+		n.recordNotice(assignment{member: n.members[t.ID], target: t}, announced)
 	}
 }
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -15,73 +15,74 @@
 
 var leaves = notice.Notice{Leaving: true}
 
-// Guards against: the way back to a target that was left for being overdue led to one
-// that had said meanwhile that it leaves.
-func TestOverdueTargetThatLeavesIsNotTakenAgain(t *testing.T) {
+// Guards against a retry at a target that was abandoned as overdue and has since announced that
+// it leaves.
+func TestLeavingOverdueTargetIsNotRetried(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
-	back := want{service: service, parts: prompt, only: "a"}
+	back := criteria{service: service, parts: prompt, only: "a"}
 	other, _, ok := p.acquire(back)
 	is.True(ok)
 	p.release(other, false)
-	p.hearNotice(l, leaves)
+	p.recordNotice(l, leaves)
 	_, _, ok = p.acquire(back)
 	is.True(!ok)
-	is.True(!p.hasOther(want{service: service}))
+	is.True(!p.hasOther(criteria{service: service}))
 }
 
-// Guards against: a request that waited for a connection was sent to a target that had
-// said meanwhile that it leaves.
-func TestRequestIsNotSentAfterItsTargetSaysThatItLeaves(t *testing.T) {
+// Guards against sending a request that waited for a connection to a target that has since
+// announced that it leaves.
+func TestRequestIsNotSentToALeavingTarget(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	waiting, other := p.take(t, "b"), p.take(t, "a")
 	is.True(p.maySend(waiting.target))
-	p.hearNotice(waiting, leaves)
+	p.recordNotice(waiting, leaves)
 	is.True(!p.maySend(waiting.target))
 	is.True(p.maySend(other.target))
 }
 
-// Guards against: a leaving target's word was lost with its entry, or kept from a later run.
-func TestWordOfARunOutlivesItsEntry(t *testing.T) {
+// Guards against losing the notice of a leaving target together with its entry, and against
+// applying it to a later run.
+func TestNoticeOutlivesTheEntryOfItsRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
-	p.keeper.Remove("a", p.at)
-	p.at = p.at.Add(time.Minute)
-	p.keeper.Expire(p.at)
+	p.keeper.Remove("a", p.clock)
+	p.clock = p.clock.Add(time.Minute)
+	p.keeper.Expire(p.clock)
 	p.update(p.keeper.Changes())
-	p.hearNotice(l, leaves) // the header of an answer that came late
+	p.recordNotice(l, leaves) // the header of a late answer
 	p.put(run("a", 10))
-	_, _, ok := p.acquire(want{service: service})
+	_, _, ok := p.acquire(criteria{service: service})
 	is.True(!ok)
 	p.put(run("a", 11))
-	_, _, ok = p.acquire(want{service: service})
+	_, _, ok = p.acquire(criteria{service: service})
 	is.True(ok)
 }
 
-// The word comes as the run has gone and come back already.
-func TestWordReachesTheRunThatCameBack(t *testing.T) {
+// The notice arrives when the run was removed and added again.
+func TestNoticeAppliesToARunAddedAgain(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t, "b")
-	p.keeper.Remove("a", p.at)
-	p.at = p.at.Add(time.Minute)
-	p.keeper.Expire(p.at)
+	p.keeper.Remove("a", p.clock)
+	p.clock = p.clock.Add(time.Minute)
+	p.keeper.Expire(p.clock)
 	p.update(p.keeper.Changes())
 	p.put(run("a", 10))
-	p.hearNotice(l, leaves)
-	_, _, ok := p.acquire(want{service: service, tried: []string{"b"}})
+	p.recordNotice(l, leaves)
+	_, _, ok := p.acquire(criteria{service: service, tried: []string{"b"}})
 	is.True(!ok)
 }
 
-// A leaving target still serves the parts that it keeps, as one that drains does.
+// A leaving target still serves the parts that it keeps, as a draining one does.
 func TestPartsAreFetchedFromATargetThatLeaves(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t)
 	p.settle()
-	p.hearNotice(l, leaves)
+	p.recordNotice(l, leaves)
 	is.Equal(p.take(t).choice.FetchFrom.ID, l.target.ID)
 }
 
-func TestOwnWordOfATarget(t *testing.T) {
+func TestReplyIsFromTarget(t *testing.T) {
 	tests := map[string]struct {
 		reply  Reply
 		status int
@@ -101,55 +102,55 @@
 		"another target, no header": {Reply{WrongTarget: true}, 421, false},
 	}
 	for name, tt := range tests {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.reply.isOwn(tt.status, "1"), tt.own) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.reply.isFromTarget(tt.status, "1"), tt.own) })
 	}
 }
 
 var rests = notice.Notice{Rest: 3 * time.Second}
 
-// Guards against: a request that waited for a connection reached a target that had asked
-// for rest meanwhile, and the way back to an overdue target led to one that rests.
-func TestTargetThatRestsIsNotSentTo(t *testing.T) {
+// Guards against two ways of sending to a target that asked for a rest: a request that was
+// already waiting for a connection, and a retry at a target that was abandoned as overdue.
+func TestRestingTargetGetsNoRequests(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
-	p.hearNotice(l, rests)
+	p.recordNotice(l, rests)
 	is.True(!p.maySend(l.target))
-	_, _, ok := p.acquire(want{service: service, only: "a"})
+	_, _, ok := p.acquire(criteria{service: service, only: "a"})
 	is.True(!ok)
-	p.at = p.at.Add(4 * time.Second)
+	p.clock = p.clock.Add(4 * time.Second)
 	is.True(p.maySend(l.target))
 	p.take(t)
 }
 
-// Guards against: the refusals of a target that rests kept it suspended for longer than it
-// had asked.
-func TestRestIsNoLongerThanAskedFor(t *testing.T) {
+// Guards against the refusals of a resting target keeping it suspended for longer than the
+// rest.
+func TestRestIsNotExtendedBySuspension(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t, "b")
 	for range 20 {
 		p.observe(l.member, health.Refused)
 	}
-	p.hearNotice(l, rests)
-	for end := p.at.Add(4 * time.Second); p.at.Before(end); p.at = p.at.Add(100 * time.Millisecond) {
-		p.believed("a") // health judges
+	p.recordNotice(l, rests)
+	for end := p.clock.Add(4 * time.Second); p.clock.Before(end); p.clock = p.clock.Add(100 * time.Millisecond) {
+		p.candidateOf("a") // updates the suspensions
 	}
-	_, _, suspended := p.believed("a")
+	_, _, suspended := p.candidateOf("a")
 	is.True(!suspended)
 	p.take(t, "b")
 }
 
-// A caller that is refused while all targets rest comes back when the first may be sent to.
-func TestRestForIsThatOfTheFirstWhoseRestEnds(t *testing.T) {
+// While all targets rest, the Retry-After of refusals is the time until the first rest ends.
+func TestShortestRestOfAllTargets(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
-	w := want{service: service}
-	p.hearNotice(p.take(t, "b"), rests)
-	is.Equal(p.restFor(w), time.Duration(0)) // b takes requests
-	p.hearNotice(p.take(t, "a"), notice.Notice{Rest: time.Minute})
-	is.True(p.restFor(w) >= 3*time.Second)
-	is.True(p.restFor(w) < 4*time.Second)
-	is.True(errors.Is(p.lack(w), errResting))
+	w := criteria{service: service}
+	p.recordNotice(p.take(t, "b"), rests)
+	is.Equal(p.shortestRest(w), time.Duration(0)) // b accepts requests
+	p.recordNotice(p.take(t, "a"), notice.Notice{Rest: time.Minute})
+	is.True(p.shortestRest(w) >= 3*time.Second)
+	is.True(p.shortestRest(w) < 4*time.Second)
+	is.True(errors.Is(p.noTargetReason(w), errResting))
 	p.put(leavingRun("a"))
-	is.True(p.restFor(w) >= time.Minute)
+	is.True(p.shortestRest(w) >= time.Minute)
 }
 
 func leavingRun(id string) roster.Target {
@@ -158,28 +159,29 @@
 	return t
 }
 
-// Guards against: a target started again under its ID and asked for rest before the node
-// knew of that start; as soon as it did, the rest was forgotten.
-func TestRestOfARunThatIsNotKnownYetHolds(t *testing.T) {
+// Guards against losing a rest: a target restarts under the same ID and asks for a rest before
+// the node has received the entry of the new run; when the entry arrives, the rest must still
+// apply.
+func TestRestOfARunAppliesAfterItsEntryArrives(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
-	p.hearNotice(p.take(t), rests)
-	p.at = p.at.Add(500 * time.Millisecond)
+	p.recordNotice(p.take(t), rests)
+	p.clock = p.clock.Add(500 * time.Millisecond)
 	p.put(run("a", 11))
-	w := want{service: service}
+	w := criteria{service: service}
 	_, _, ok := p.acquire(w)
 	is.True(!ok)
 	is.True(!p.maySend(p.members["a"].target))
-	p.at = p.at.Add(3 * time.Second)
+	p.clock = p.clock.Add(3 * time.Second)
 	_, _, ok = p.acquire(w)
 	is.True(ok)
 }
 
-// A rest that was asked for long before a start is the earlier run's.
-func TestRestOfAnEarlierRunEndsWithIt(t *testing.T) {
+// A rest that was asked for long before a restart belongs to the earlier run.
+func TestRestOfAnEarlierRunEndsWithTheRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
-	p.hearNotice(p.take(t), notice.Notice{Rest: time.Hour})
-	p.at = p.at.Add(time.Minute)
+	p.recordNotice(p.take(t), notice.Notice{Rest: time.Hour})
+	p.clock = p.clock.Add(time.Minute)
 	p.put(run("a", 11))
-	_, _, ok := p.acquire(want{service: service})
+	_, _, ok := p.acquire(criteria{service: service})
 	is.True(ok)
 }
--- a/router/patience_test.go
+++ b/router/overdue_test.go
@@ -9,7 +9,7 @@
 
 const target = 400 * time.Millisecond
 
-func times(samples ...time.Duration) *replyTime {
+func estimateOf(samples ...time.Duration) *replyTime {
 	r := &replyTime{}
 	for _, s := range samples {
 		r.observe(s)
@@ -25,23 +25,23 @@
 	return out
 }
 
-func TestPatienceFollowsReplyTimes(t *testing.T) {
+func TestTimeoutFollowsReplyTimes(t *testing.T) {
 	is := is.New(t)
-	is.Equal(times().patience(target), 2*target) // nothing is known yet
-	is.Equal(times(repeat(60*time.Millisecond, 50)...).patience(target), target/2)
-	is.Equal(times(repeat(5*time.Second, 50)...).patience(target), 2*target)
-	slow := times(repeat(300*time.Millisecond, 50)...).patience(target)
+	is.Equal(estimateOf().timeout(target), 2*target) // no samples yet
+	is.Equal(estimateOf(repeat(60*time.Millisecond, 50)...).timeout(target), target/2)
+	is.Equal(estimateOf(repeat(5*time.Second, 50)...).timeout(target), 2*target)
+	slow := estimateOf(repeat(300*time.Millisecond, 50)...).timeout(target)
 	is.True(slow > 300*time.Millisecond && slow < 350*time.Millisecond)
 }
 
-// When all targets turn slow, patience grows before more than a few requests
-// were sent twice.
-func TestPatienceGrowsUnderLoad(t *testing.T) {
+// When all targets become slow, the timeout grows before more than a few requests were sent
+// twice.
+func TestTimeoutGrowsUnderLoad(t *testing.T) {
 	is := is.New(t)
-	r := times(repeat(60*time.Millisecond, 50)...)
+	r := estimateOf(repeat(60*time.Millisecond, 50)...)
 	early := 0
 	for range 50 {
-		if r.patience(target) < 350*time.Millisecond {
+		if r.timeout(target) < 350*time.Millisecond {
 			early++
 		}
 		r.observe(350 * time.Millisecond)
@@ -49,9 +49,9 @@
 	is.True(early <= 5)
 }
 
-// A sign of life that comes while another attempt is reserved wins over it, and so
-// does the end of the attempt.
-func TestSignOfLifeWinsOverTheWatch(t *testing.T) {
+// If an event arrives or the attempt ends while another attempt is being reserved, the watch
+// does not cancel the attempt.
+func TestEventDuringReserveKeepsTheAttempt(t *testing.T) {
 	for name, sign := range map[string]func(w *overdueWatch){
 		"event": func(w *overdueWatch) { w.event() },
 		"end":   func(w *overdueWatch) { w.stop() },
@@ -68,8 +68,8 @@
 	}
 }
 
-// An attempt is looked at again after the same wait, until another is allowed.
-func TestOverdueAttemptIsLookedAtAgain(t *testing.T) {
+// An overdue attempt is checked again after the same wait, until another attempt is allowed.
+func TestOverdueAttemptIsCheckedAgain(t *testing.T) {
 	is := is.New(t)
 	allowed, ended := false, false
 	w := newOverdueWatch(time.Hour, func() bool { return allowed }, func() { ended = true })
--- a/router/pool.go
+++ b/router/pool.go
@@ -24,77 +24,77 @@
 )
 
 const (
-	// idlePerTarget is the most idle connections kept to one target: more
-	// than a node ever uses at once there outside of surges.
+	// idlePerTarget is the maximum number of idle connections to one target: more than a node
+	// ever uses there at once, except in load surges.
 	idlePerTarget = 32
-	// idleTimeout is how long an idle connection is kept. Targets close idle
-	// connections too, and a request that crosses that close has an unknown
-	// fate, so it is well below the shortest time that targets announce.
+	// idleTimeout is how long an idle connection is kept. Targets close idle connections too,
+	// and for a request sent while the target closes the connection it is unknown whether it
+	// was run. The timeout is therefore well below the shortest one that targets announce.
 	idleTimeout = 3 * time.Second
-	// dialTimeout and unacked find a target that went dark: many round trips
+	// dialTimeout and unackedTimeout detect a target whose network has failed: many round trips
 	// within a region, and two retransmissions.
-	dialTimeout = 400 * time.Millisecond
-	unacked     = 700 * time.Millisecond
-	// maxUses is the most uses of parts in one report, about 10 bytes each.
-	maxUses = 100
-	// reportSlack is how much later than an interval after the last one a
-	// report may go out.
+	dialTimeout    = 400 * time.Millisecond
+	unackedTimeout = 700 * time.Millisecond
+	// maxUsesPerReport is the maximum number of uses of parts in one report, about 10 bytes
+	// each.
+	maxUsesPerReport = 100
+	// reportSlack is how much later than one interval after the last report the next may be
+	// sent.
 	reportSlack = 50 * time.Millisecond
-	// loadFresh is how long a target's own report of its load holds: as long
-	// as the other nodes' counts do in a fleet of 70, which are its rival.
-	loadFresh = time.Second
-	// quorum is the number of other nodes whose word makes a target
-	// unreachable here: one node may itself be cut off.
-	quorum = 2
+	// reportedLoadTTL is how long a target's own report of its load is used: as long as the
+	// counts of the other nodes in a fleet of 70, with which it is compared.
+	reportedLoadTTL = time.Second
+	// unreachableQuorum is the number of other nodes that must report a target as unreachable
+	// for this node to suspend it: a single node may itself be partitioned.
+	unreachableQuorum = 2
 )
 
-// keepAlive finds a target that goes dark while it is silent anyhow.
+// keepAlive detects a target whose network fails while it has nothing to send.
 var keepAlive = net.KeepAliveConfig{
 	Enable: true, Idle: 700 * time.Millisecond, Interval: 300 * time.Millisecond, Count: 2,
 }
 
-// Fleet is what the other nodes say of targets.
+// Fleet provides what the other nodes report about targets.
 type Fleet interface {
 	Targets(hashes []uint64, f func(i int, s heartbeat.Sum))
 	Lives() int
-	// Known is the number of nodes that there are or were lately.
+	// Known is the number of nodes that exist or existed recently.
 	Known() int
 	// Interval is the time between two reports of a node.
 	Interval() time.Duration
-	// CountAge is how old the other nodes' counts get.
+	// CountAge is the maximum age of the other nodes' counts.
 	CountAge() time.Duration
 }
 
-// member is one run of a target with this node's connections to it and its view
-// of it.
+// member is one run of a target, from one start to the next, with this node's connections to it
+// and its state there.
 type member struct {
 	target *roster.Target
-	// connections are opened with the first request: most nodes send nothing to most
-	// targets of a large fleet. They are set once, by client.
+	// connections are opened with the first request, since most nodes send nothing to most
+	// targets of a large fleet. The client is set once, by the method client.
 	connections atomic.Pointer[upstream.Client]
-	// The rest is guarded by the pool's lock.
-	// service are the members among which it may be weighed, nil if it may not; at is its
-	// place in their list.
-	service *serviceMembers
-	at      int
-	// turn and place are those in the last weighing.
-	turn    uint64
-	place   int
-	running int
-	state   health.State
-	// reported is the target's own word of its load at reportedAt.
+	// The remaining fields are guarded by the pool's lock.
+	// service are the members of the service that it belongs to, nil if it may not be picked;
+	// listIndex is its index in their list.
+	service   *serviceMembers
+	listIndex int
+	// generation identifies the decision that evaluated the member last, index its index there.
+	generation uint64
+	index      int
+	running    int
+	state      health.State
+	// reported is the load that the target itself reported at reportedAt.
 	reported   int
 	reportedAt time.Time
 	gone       bool
-	// said is what the target said of itself, nil for nothing.
-	said *notice.State
-	// warmUp is this node's share of a cold target, nil of others.
+	// notices is the state announced by the target itself, nil for none.
+	notices *notice.State
+	// warmUp limits what this node sends to a cold target; nil for warm ones.
 	warmUp *warmup.Sender
-	// closed are the runs whose connection the target closed since it was last seen to
-	// take one, oldest first. probe is closed when it was asked for another, nil while
-	// nobody asks.
-	closed []quarantine.Suspect
-	probe  chan struct{}
+	// suspects are the requests whose connection the target closed since it last accepted one,
+	// oldest first. probe is closed when the current probe ends, nil if there is none.
+	suspects []quarantine.Suspect
+	probe    chan struct{}
 }
 
 // pool holds the members of all services.
@@ -105,35 +105,35 @@
 	domain       string
 	log          *log.Logger
 	now          func() time.Time
-	try          func(addr string) error
-	// self names this node in the order in which nodes send to cold targets.
+	dial         func(addr string) error
+	// self identifies this node when the nodes' sending times to cold targets are derived.
 	self uint64
-	// regionOf is the region of each failure domain.
+	// regionOf maps each failure domain to its region.
 	regionOf map[string]string
-	// warmUpOf is what a cold target of a service bears.
+	// warmUpOf returns the limits for cold targets of a service.
 	warmUpOf func(service string) warmup.Limit
 
 	mu      sync.Mutex
 	members map[string]*member
-	// byRun are the members by the hash of their run.
-	byRun    map[uint32]*member
-	services map[string]*serviceMembers
-	weighing weighing
-	scratch  scratch
-	// weighedWhole is the most members of a service that is weighed whole.
-	weighedWhole int
-	rng          *rand.Rand
-	parts        *affinity.Table
-	gates        map[string]*overload.Gate // by service
-	// notices are what targets said of themselves, also those that are not known now.
+	// byRun maps the hash of a run to its member.
+	byRun      map[uint32]*member
+	services   map[string]*serviceMembers
+	candidates candidateSet
+	scratch    scratch
+	// fullScanLimit is the largest number of members of a service that is evaluated completely.
+	fullScanLimit int
+	rng           *rand.Rand
+	parts         *affinity.Table
+	gates         map[string]*overload.Gate // by service
+	// notices holds the targets' notices, including those of runs that are not members now.
 	notices *notice.Book
-	// uses are to be told to the other nodes, oldest first.
-	uses []toldUse
+	// pending are the uses to report to the other nodes, oldest first.
+	pending []pendingUse
 }
 
-// toldUse is a use of a part that goes into this node's reports until each
-// other node has had one.
-type toldUse struct {
+// pendingUse is a use of a part, the record that a target was sent it, that is included in this
+// node's reports until each other node has received one.
+type pendingUse struct {
 	use affinity.Use
 	at  time.Time
 }
@@ -141,9 +141,9 @@
 func newPool(f Fleet, g *quarantine.Guard, domain string, l *log.Logger) *pool {
 	return &pool{
 		fleet: f, guard: g, healthConfig: health.DefaultConfig(),
-		domain: domain, log: l, now: clock.Steady, try: tryDial,
+		domain: domain, log: l, now: clock.Steady, dial: dialOnce,
 		members: make(map[string]*member), byRun: make(map[uint32]*member),
-		services: make(map[string]*serviceMembers), weighedWhole: weighedWhole,
+		services: make(map[string]*serviceMembers), fullScanLimit: maxFullScan,
 		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		parts: affinity.NewTable(affinity.DefaultConfig()),
 		gates: make(map[string]*overload.Gate), notices: notice.NewBook(notice.DefaultRuns),
@@ -159,7 +159,7 @@
 	}
 	m.connections.CompareAndSwap(nil, upstream.New(upstream.Config{
 		MaxIdle: idlePerTarget, IdleTimeout: idleTimeout,
-		DialTimeout: dialTimeout, Unacked: unacked, KeepAlive: keepAlive,
+		DialTimeout: dialTimeout, Unacked: unackedTimeout, KeepAlive: keepAlive,
 	}))
 	return m.connections.Load()
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// update takes changes of the targets.
+// update applies changes of the targets.
 func (p *pool) update(changed []roster.Difference) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,33 +184,32 @@
 	}
 }
 
-// put takes a target that is new or has changed. It is called with the lock held.
+// put adds or changes a target. The caller must hold p.mu.
 func (p *pool) put(t *roster.Target) {
 	m, ok := p.members[t.ID]
 	if ok && !m.target.Started.Equal(t.Started) {
-		// What this node knows of the earlier run, its connections included,
-		// is of no use for the new one.
+		// The state and connections of the earlier run are not valid for the new one.
 		p.notices.Succeed(runOf(m.target), runOf(t), p.now())
 		p.end(m)
 		ok = false
 	}
 	if !ok {
-		m = &member{said: p.notices.State(runOf(t))}
+		m = &member{notices: p.notices.State(runOf(t))}
 		p.members[t.ID] = m
 	}
-	noted := p.leaveService(m)
+	reportable := p.leaveService(m)
 	m.target = t
 	p.byRun[uint32(t.RunHash())] = m
 	if t.Withdrawn {
 		return
 	}
 	p.serviceOf(t.Service).add(m)
-	if noted {
-		m.note()
+	if reportable {
+		m.markReportable()
 	}
 }
 
-// drop takes a target out that is gone. It is called with the lock held.
+// drop removes a target. The caller must hold p.mu.
 func (p *pool) drop(t *roster.Target) {
 	if m, ok := p.members[t.ID]; ok {
 		p.end(m)
@@ -218,10 +217,10 @@
 	}
 }
 
-// end ends the use of a run. Its requests in progress end as they may; release closes
-// their connections. It is called with the lock held.
+// end removes a run from the pool. Its requests in progress continue; after the last of them,
+// release closes the connections. The caller must hold p.mu.
 func (p *pool) end(m *member) {
-	p.blame(m)
+	p.reportSuspects(m)
 	p.leaveService(m)
 	if run := uint32(m.target.RunHash()); p.byRun[run] == m {
 		delete(p.byRun, run)
@@ -230,7 +229,8 @@
 	m.closeIdle()
 }
 
-// serviceOf is called with the lock held.
+// serviceOf returns the members of a service, creating them if necessary. The caller must hold
+// p.mu.
 func (p *pool) serviceOf(service string) *serviceMembers {
 	s, ok := p.services[service]
 	if !ok {
@@ -240,46 +240,47 @@
 	return s
 }
 
-// leaveService takes a member out of its service, and says whether the node may have
-// something to tell of it. It is called with the lock held.
-func (p *pool) leaveService(m *member) (noted bool) {
+// leaveService removes a member from its service and reports whether it was reportable. The
+// caller must hold p.mu.
+func (p *pool) leaveService(m *member) (reportable bool) {
 	s := m.service
 	if s == nil {
 		return false
 	}
-	noted = s.remove(m)
+	reportable = s.remove(m)
 	if len(s.list) == 0 {
 		delete(p.services, m.target.Service)
 	}
-	return noted
+	return reportable
 }
 
-// noteUses is called with the lock held.
-func (p *pool) noteUses(parts []affinity.Part, t *roster.Target, now time.Time) {
+// recordSentParts records that the target was sent the parts, and adds new uses to the pending
+// ones. The caller must hold p.mu.
+func (p *pool) recordSentParts(parts []affinity.Part, t *roster.Target, now time.Time) {
 	run := uint32(t.RunHash())
 	for _, part := range parts {
-		if p.parts.Sent(part.Hash, run, now) && len(p.uses) < maxUses {
-			p.uses = append(p.uses, toldUse{affinity.Use{Part: uint32(part.Hash), Target: run}, now})
+		if p.parts.Sent(part.Hash, run, now) && len(p.pending) < maxUsesPerReport {
+			p.pending = append(p.pending, pendingUse{affinity.Use{Part: uint32(part.Hash), Target: run}, now})
 		}
 	}
 }
 
-// usesToTell returns the uses of the last interval of reports, and drops older
-// ones: every node has had them. It is called with the lock held.
-func (p *pool) usesToTell(now time.Time) []affinity.Use {
+// pendingUses returns the uses of the last report interval and drops older ones, which every
+// node has received. The caller must hold p.mu.
+func (p *pool) pendingUses(now time.Time) []affinity.Use {
 	oldest := now.Add(-p.fleet.Interval() - reportSlack)
-	p.uses = slices.DeleteFunc(p.uses, func(u toldUse) bool { return u.at.Before(oldest) })
-	out := make([]affinity.Use, len(p.uses))
-	for i, u := range p.uses {
+	p.pending = slices.DeleteFunc(p.pending, func(u pendingUse) bool { return u.at.Before(oldest) })
+	out := make([]affinity.Use, len(p.pending))
+	for i, u := range p.pending {
 		out[i] = u.use
 	}
 	return out
 }
 
-// hear takes what another node told of prompt parts.
-func (p *pool) hear(r heartbeat.Report) { p.takeUses(r.Uses) }
+// receiveReport records the uses of prompt parts that another node reported.
+func (p *pool) receiveReport(r heartbeat.Report) { p.recordUses(r.Uses) }
 
-func (p *pool) takeUses(uses []affinity.Use) {
+func (p *pool) recordUses(uses []affinity.Use) {
 	if len(uses) == 0 {
 		return
 	}
@@ -294,24 +295,25 @@
 func (p *pool) recentUses() []affinity.Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.parts.Recent(p.now(), maxNoted)
+	return p.parts.Recent(p.now(), maxUsesPerNote)
 }
 
-// reportedLoad is the target's own word of its load, 0 if that is old.
+// reportedLoad returns the load that the target itself reported, 0 if the report is older than
+// reportedLoadTTL.
 func (m *member) reportedLoad(now time.Time) int {
-	if now.Sub(m.reportedAt) < loadFresh {
+	if now.Sub(m.reportedAt) < reportedLoadTTL {
 		return m.reported
 	}
 	return 0
 }
 
-// trial opens a connection to an unreachable target, and closes it.
+// trial checks whether an unreachable target accepts connections again.
 func (p *pool) trial(m *member, addr string) {
-	err := p.try(addr)
+	err := p.dial(addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if upstream.IsLocal(err) {
-		p.log.Warn("trial not made; the node has no descriptor left", "target", m.target.ID, "err", err)
+		p.log.Warn("trial not made: no file descriptor is free", "target", m.target.ID, "err", err)
 		return
 	}
 	if err != nil {
@@ -319,10 +321,10 @@
 		return
 	}
 	m.state.Reached()
-	p.log.Info("target reached again", "target", m.target.ID)
+	p.log.Info("target reachable again", "target", m.target.ID)
 }
 
-func tryDial(addr string) error {
+func dialOnce(addr string) error {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return err
@@ -330,44 +332,44 @@
 	return conn.Close()
 }
 
-// observe records what a request showed of a target.
+// observe records the outcome of a request at a target.
 func (p *pool) observe(m *member, o health.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m.note()
+	m.markReportable()
 	if m.state.Observe(p.healthConfig, o, p.now()) {
 		p.log.Warn("target unreachable", "target", m.target.ID)
 		m.closeIdle()
 	}
 }
 
-// report records a target's own word of its load.
+// report records the load that a target reported in an answer.
 func (p *pool) report(m *member, running int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m.reported, m.reportedAt = running, p.now()
 }
 
-// serviceHash names a service among the targets of a report.
+// serviceHash identifies a service in the list of targets of a report.
 func serviceHash(service string) uint64 { return routing.Hash("service " + service) }
 
-// fillReport adds what this node runs at and saw of each target, and the sums
-// of each service. Targets that run nothing and failed nothing are left out:
-// most are, and their answers are in the sums.
+// fillReport adds the requests in progress and the outcomes at each target, and the sums of
+// each service. Targets without requests in progress and without failures are omitted: they are
+// the majority, and their outcomes are included in the sums.
 func (p *pool) fillReport(r *heartbeat.Report, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.Uses = p.usesToTell(now)
+	r.Uses = p.pendingUses(now)
 	for service, s := range p.services {
 		var sum health.Counts
-		for m := range s.noted {
-			cold := m.coldReport(now)
+		for m := range s.reportable {
+			cold := m.arrivalsReport(now)
 			r.Targets = append(r.Targets, cold...)
 			c := m.state.Counts(p.healthConfig, now)
 			sum = sum.Plus(c)
 			if m.running == 0 && c.Failed == 0 && !m.state.Unreachable() {
 				if c == (health.Counts{}) && len(cold) == 0 {
-					delete(s.noted, m)
+					delete(s.reportable, m)
 				}
 				continue
 			}
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -21,57 +21,57 @@
 
 const service = "s"
 
-// told is a fleet of other nodes whose reports a test makes.
-type told struct {
+// fakeFleet provides the reports of other nodes that a test creates.
+type fakeFleet struct {
 	view *heartbeat.View
 	seq  uint64
 }
 
-func (f *told) Targets(hashes []uint64, g func(i int, s heartbeat.Sum)) {
+func (f *fakeFleet) Targets(hashes []uint64, g func(i int, s heartbeat.Sum)) {
 	for i, h := range hashes {
 		g(i, f.view.Target(h))
 	}
 }
-func (f *told) Lives() int            { return 2 }
-func (*told) Known() int              { return 2 }
-func (*told) Interval() time.Duration { return 200 * time.Millisecond }
-func (*told) CountAge() time.Duration { return 200 * time.Millisecond }
+func (f *fakeFleet) Lives() int            { return 2 }
+func (*fakeFleet) Known() int              { return 2 }
+func (*fakeFleet) Interval() time.Duration { return 200 * time.Millisecond }
+func (*fakeFleet) CountAge() time.Duration { return 200 * time.Millisecond }
 
-// report has another node say something of a target.
-func (f *told) report(p *pool, t heartbeat.TargetReport, uses ...affinity.Use) {
+// report receives a report from another node.
+func (f *fakeFleet) report(p *pool, t heartbeat.TargetReport, uses ...affinity.Use) {
 	f.seq++
 	r := heartbeat.Report{Node: "other", Sequence: f.seq, Targets: []heartbeat.TargetReport{t}, Uses: uses}
 	f.view.Receive(r, p.now())
-	p.hear(r)
+	p.receiveReport(r)
 }
 
-// testPool is a pool on virtual time, with the targets given.
+// testPool is a pool with the given targets on virtual time.
 type testPool struct {
 	*pool
-	fleet  *told
+	fleet  *fakeFleet
 	keeper *roster.Keeper
-	at     time.Time
+	clock  time.Time
 }
 
 func newTestPool(targets ...roster.Target) *testPool {
-	p := &testPool{fleet: &told{view: heartbeat.NewView(heartbeat.DefaultConfig(), "self")}, at: start}
-	now := func() time.Time { return p.at }
+	p := &testPool{fleet: &fakeFleet{view: heartbeat.NewView(heartbeat.DefaultConfig(), "self")}, clock: start}
+	now := func() time.Time { return p.clock }
 	guard := quarantine.NewGuard(quarantine.DefaultConfig(), now, log.New(io.Discard), prometheus.NewRegistry())
 	p.pool = newPool(p.fleet, guard, "z", log.New(io.Discard))
 	p.now = now
 	p.keeper = roster.NewKeeper()
-	p.keeper.Reset(targets, p.at)
+	p.keeper.Reset(targets, p.clock)
 	p.update(p.keeper.Changes())
 	return p
 }
 
-// put is news of one target.
+// put adds or changes a target.
 func (p *testPool) put(t roster.Target) {
-	p.keeper.Put(t, p.at)
+	p.keeper.Put(t, p.clock)
 	p.update(p.keeper.Changes())
 }
 
-// run is a run of an engine that began at the second given, 0 for unknown.
+// run returns a target that started at the given second, 0 for an unknown start time.
 func run(id string, second int64) roster.Target {
 	t := roster.Target{ID: id, Service: service, Addr: "10.0.0.1:80", Slots: 8, Hash: uint64(id[0])}
 	if second > 0 {
@@ -82,24 +82,24 @@
 
 var prompt = []affinity.Part{{Hash: 1, Tokens: 500}, {Hash: 2, Tokens: 400}}
 
-// take sends the prompt to a target of the service, apart from those tried.
-func (p *testPool) take(t *testing.T, tried ...string) lease {
+// take sends the prompt to a target of the service, except those tried.
+func (p *testPool) take(t *testing.T, tried ...string) assignment {
 	t.Helper()
-	l, _, ok := p.acquire(want{service: service, parts: prompt, tried: tried})
+	l, _, ok := p.acquire(criteria{service: service, parts: prompt, tried: tried})
 	if !ok {
 		t.Fatal("no target")
 	}
 	return l
 }
 
-// settle lets the targets read what they were sent.
-func (p *testPool) settle() { p.at = p.at.Add(affinity.DefaultConfig().Settle) }
+// settle advances the time until the targets have read what they were sent.
+func (p *testPool) settle() { p.clock = p.clock.Add(affinity.DefaultConfig().Settle) }
 
-// believed is what placement would go by.
-func (p *testPool) believed(id string) (kept, running int, suspended bool) {
+// candidateOf returns the values that placement would use for a target.
+func (p *testPool) candidateOf(id string) (kept, running int, suspended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.weighAll(want{service: service, parts: prompt}, p.now()).All() {
+	for _, c := range p.evaluateAll(criteria{service: service, parts: prompt}, p.now()).All() {
 		if c.ID == id {
 			return c.Kept, c.Running, c.Suspended
 		}
@@ -107,36 +107,36 @@
 	return 0, 0, false
 }
 
-func TestLaterRunKeepsAndRunsNothing(t *testing.T) {
+func TestLaterRunStartsWithoutState(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
 	p.report(l.member, 5)
 	hash := uint32(l.target.RunHash())
 	p.fleet.report(p.pool, heartbeat.TargetReport{Target: hash, Running: 3}, affinity.Use{Part: 2, Target: hash})
 	p.observe(l.member, health.Unreachable)
-	kept, running, suspended := p.believed("a")
+	kept, running, suspended := p.candidateOf("a")
 	is.Equal(kept, 900)
 	is.True(running >= 4)
 	is.True(suspended)
 
 	p.put(run("a", 11))
-	kept, running, suspended = p.believed("a")
+	kept, running, suspended = p.candidateOf("a")
 	is.Equal(kept, 0)
 	is.Equal(running, 0)
 	is.True(!suspended)
-	is.True(p.members["a"].client() != l.member.client()) // its connections are not used
+	is.True(p.members["a"].client() != l.member.client()) // earlier connections are not used
 
-	// What a request on the earlier run shows says nothing of the later one.
+	// The outcome of a request at the earlier run does not affect the later one.
 	p.observe(l.member, health.Unreachable)
 	p.report(l.member, 8)
 	p.release(l, false)
-	_, running, suspended = p.believed("a")
+	_, running, suspended = p.candidateOf("a")
 	is.Equal(running, 0)
 	is.True(!suspended)
 }
 
-// A node that is behind goes on telling of the earlier run.
-func TestWordOfTheEarlierRunIsOfNoUse(t *testing.T) {
+// A node with an older view keeps reporting the earlier run.
+func TestReportsOfAnEarlierRunAreIgnored(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	earlier := run("a", 10)
 	p.put(run("a", 11))
@@ -145,29 +145,30 @@
 		p.fleet.report(p.pool, heartbeat.TargetReport{Target: hash, Running: 30, Failed: 30},
 			affinity.Use{Part: 1, Target: hash}, affinity.Use{Part: 2, Target: hash})
 	}
-	kept, running, suspended := p.believed("a")
+	kept, running, suspended := p.candidateOf("a")
 	is.Equal(kept, 0)
 	is.Equal(running, 0)
 	is.True(!suspended)
 }
 
-// A node that is ahead tells of the later run; that counts once its entry is here.
-func TestWordOfTheLaterRunWaitsForItsEntry(t *testing.T) {
+// A node with a newer view reports the later run. Its report applies once the run's entry has
+// arrived here.
+func TestReportsOfALaterRunApplyAfterItsEntry(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	later := run("a", 11)
 	hash := uint32(later.RunHash())
 	p.fleet.report(p.pool, heartbeat.TargetReport{Target: hash, Running: 2}, affinity.Use{Part: 2, Target: hash})
-	kept, running, _ := p.believed("a")
+	kept, running, _ := p.candidateOf("a")
 	is.Equal(kept, 0)
 	is.Equal(running, 0)
 	p.put(later)
-	kept, running, _ = p.believed("a")
+	kept, running, _ = p.candidateOf("a")
 	is.Equal(kept, 900)
 	is.Equal(running, 2)
 }
 
-// What this node tells the others names the run.
-func TestReportsAndNotesNameTheRun(t *testing.T) {
+// This node's reports and notes identify targets by their runs.
+func TestReportsAndNotesIdentifyTheRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
 	hash := uint32(l.target.RunHash())
@@ -181,12 +182,12 @@
 	p.put(run("a", 11))
 	r = heartbeat.Report{}
 	p.fillReport(&r, p.now())
-	for _, told := range r.Targets {
-		is.True(told.Target != hash) // the request there is the earlier run's
+	for _, report := range r.Targets {
+		is.True(report.Target != hash) // that request belongs to the earlier run
 	}
 }
 
-// Parts are fetched from a target that leaves, never from a run that is over.
+// Parts are fetched from a leaving target, but never from a run that has ended.
 func TestNothingIsFetchedFromARunThatIsOver(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t)
@@ -203,9 +204,9 @@
 	is.Equal(p.take(t).choice.FetchFrom, nil)
 }
 
-// Nodes of the release before name a target by its ID. That is understood of
-// targets whose start isn't known, and of no others.
-func TestNamesWithoutAStart(t *testing.T) {
+// Nodes of the previous release identify a target by the hash of its ID only. That matches
+// targets whose start time is unknown, and no others.
+func TestHashesWithoutAStartTime(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 0), run("b", 10))
 	for _, id := range []string{"a", "b"} {
 		hash := uint32(id[0])
@@ -214,27 +215,27 @@
 	note, err := cbor.Marshal([]affinity.Use{{Part: 2, Target: 'a'}, {Part: 2, Target: 'b'}})
 	is.NoErr(err)
 	(&Router{pool: p.pool, log: log.New(io.Discard)}).readNote(note)
-	kept, _, _ := p.believed("a")
+	kept, _, _ := p.candidateOf("a")
 	is.Equal(kept, 900)
-	kept, running, _ := p.believed("b")
+	kept, running, _ := p.candidateOf("b")
 	is.Equal(kept, 0)
 	is.Equal(running, 0)
 }
 
-// An earlier start than the one known is an old word of the target.
+// An entry with an earlier start than the known one is outdated.
 func TestEarlierRunIsIgnored(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	p.take(t)
 	member := p.members["a"]
 	p.put(run("a", 9))
 	is.True(p.members["a"] == member)
-	kept, running, _ := p.believed("a")
+	kept, running, _ := p.candidateOf("a")
 	is.Equal(kept, 900)
 	is.Equal(running, 1)
 }
 
-// A target whose entry is unusable gets nothing new and nothing is fetched from it;
-// a request in progress there ends normally and is counted when it is back.
+// A target whose entry is unusable gets no new requests, and nothing is fetched from it. A
+// request in progress there ends normally and is counted when the entry is usable again.
 func TestWithdrawnTargetGetsNothingNew(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t)
@@ -249,15 +250,15 @@
 		p.release(other, true)
 	}
 	p.put(run(id, 10))
-	kept, running, _ := p.believed(id)
+	kept, running, _ := p.candidateOf(id)
 	is.Equal(kept, 900)
 	is.Equal(running, 1)
 	p.release(l, true)
-	_, running, _ = p.believed(id)
+	_, running, _ = p.candidateOf(id)
 	is.Equal(running, 0)
 }
 
-// A target of a service that no configuration names harms no other.
+// A target of a service that is not configured does not affect the others.
 func TestTargetOfAnUnknownService(t *testing.T) {
 	is := is.New(t)
 	stray := run("c", 10)
@@ -271,5 +272,5 @@
 	p.take(t)
 	var r heartbeat.Report
 	p.fillReport(&r, p.now())
-	is.Equal(len(r.Targets), 1) // nothing is told of the stray one
+	is.Equal(len(r.Targets), 1) // nothing is reported about the stray target
 }
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -12,9 +12,10 @@
 	"github.com/knapweedgw/knapweedgw/retry"
 )
 
-// returnSpread is the time over which callers come back that were refused while all targets
-// rested: the first of these would get them all at once.
-const returnSpread = 250 * time.Millisecond
+// restJitter spreads the retries of callers that were refused while all targets rested, that is,
+// had asked this node for no requests for some time. Otherwise the first target that accepts
+// requests again would get all of the retries at once.
+const restJitter = 250 * time.Millisecond
 
 var (
 	errNoTarget    = errors.New("no target of the service is left")
@@ -26,8 +27,8 @@
 	errSuspectBusy = errors.New("a copy of this request is being run, and targets ended under earlier ones")
 )
 
-// noPlace is for a request that no target may get now.
-func (x *exchange) noPlace(d overload.Decision) *failure {
+// noTargetFailure returns the failure of a request that no target may get now.
+func (x *exchange) noTargetFailure(d overload.Decision) *failure {
 	f := &failure{reason: problem.NoTarget, retryAfter: d.RetryAfter}
 	switch d.Reason {
 	case overload.Full:
@@ -35,7 +36,7 @@
 	case overload.Surging:
 		f.reason = problem.WorkspaceLimit
 	case overload.None:
-		f.cause = x.router.pool.lack(x.want())
+		f.cause = x.router.pool.noTargetReason(x.criteria())
 		return f
 	}
 	f.cause = errors.Newf("%.2f of the places are taken, limit %.2f: running %.0f, counted %d, own %d, slots %d, may wait %.2f a slot",
@@ -51,22 +52,22 @@
 	return x.giveUp(ctx, fail)
 }
 
-// giveUp ends a request that no further attempt is made for: with the answer of a
-// target that failed it, if there is one, whatever became of later attempts, else with
-// a refusal.
+// giveUp ends a request that no further attempt is made for. It delivers the answer of a target
+// that failed the request, if there is one, whatever the outcome of later attempts; else it
+// returns a refusal.
 func (x *exchange) giveUp(ctx context.Context, f *failure) error {
-	if x.held != nil && !x.begun && !x.callerGone() {
+	if x.held != nil && !x.answerBegun && !x.callerGone() {
 		x.deliver(x.held)
 		return nil
 	}
 	return x.refusal(ctx, f)
 }
 
-// refusal returns the refusal for a failure. It says "not run" only if no
-// target may have run the request.
+// refusal returns the refusal for a failure. It states that the request was not run only if no
+// target may have run it.
 func (x *exchange) refusal(ctx context.Context, f *failure) error {
 	ran := problem.RanUnknown
-	if x.runs == 0 {
+	if x.executions == 0 {
 		ran = problem.RanNo
 	}
 	reason, cause := f.reason, f.cause
@@ -76,7 +77,7 @@
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		reason = problem.DeadlineExceeded
-	case errors.Is(cause, errStopping) && (ran == problem.RanNo || x.begun):
+	case errors.Is(cause, errStopping) && (ran == problem.RanNo || x.answerBegun):
 		reason = problem.Stopping
 	case reason == problem.TargetFailed && ran == problem.RanNo:
 		reason = problem.TargetRefused
@@ -95,9 +96,9 @@
 		return f.retryAfter
 	}
 	left, _ := x.remaining()
-	// A caller that comes back is not kept from the targets that were tried.
-	if rest := x.router.pool.restFor(want{service: x.service, regions: x.regions}); rest > 0 {
-		return rest + rand.N(returnSpread)
+	// A retry by the caller may use the targets that were already tried.
+	if rest := x.router.pool.shortestRest(criteria{service: x.service, regions: x.regions}); rest > 0 {
+		return rest + rand.N(restJitter)
 	}
 	return x.router.pool.retryAfter(x.service, left)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -25,35 +25,35 @@
 	"github.com/knapweedgw/knapweedgw/warmup"
 )
 
-// ServiceID is the kernel name of the Router.
+// ServiceID identifies the Router in the kernel.
 const ServiceID kernel.ID = "router.http"
 
 const (
-	// headerTimeout and maxHeaderBytes hold from the start on; they are the
-	// largest that the known configurations allow callers.
+	// headerTimeout and maxHeaderBytes apply from the start, before a configuration is known.
+	// They are the largest values that the known configurations allow callers.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
-	// callerIdle is how long a caller's idle connection is kept: longer than
-	// the configurations promise, so that a change of that never cuts one off.
+	// callerIdle is how long a caller's idle connection is kept: longer than configurations
+	// promise, so that a configuration change never cuts a connection off early.
 	callerIdle = 75 * time.Second
-	// retryReserve is the part of the retry bound that is left unused, see
+	// retryReserve is the fraction of the retry limit that is left unused, see
 	// retry.WindowConfig.
 	retryReserve = 0.25
-	// assumedNodes is the size of the fleet that a new node assumes for its
-	// part of the retry slack until it has heard the others.
+	// assumedNodes is the fleet size that a new node assumes for its share of the retry slack
+	// until it has received the other nodes' heartbeats.
 	assumedNodes = 8
 )
 
-// Beliefs is the node's copy of the configuration and the targets.
-type Beliefs interface {
+// Replica is the node's copy of the configuration and the targets.
+type Replica interface {
 	Catalog() *catalog.Catalog
 	// Begun is closed when the node has its first configuration and targets.
 	Begun() <-chan struct{}
 	Versions() (catalogVersion, revision int64)
 	ConfirmedAge(now time.Time) (age time.Duration, ok bool)
 	StoreLost() bool
-	// Leads says whether this node writes the fleet's note, which SaveNote does
-	// and OnNote reads when the node begins.
+	// Leads reports whether this node writes the fleet's note. SaveNote writes it; a node reads
+	// it when it starts and passes it to the functions registered with OnNote.
 	Leads() bool
 	SaveNote(ctx context.Context, note []byte) error
 	OnNote(f func(note []byte))
@@ -61,11 +61,11 @@
 	OnTargets(f func([]roster.Difference))
 }
 
-// Router serves callers.
+// Router serves callers' requests.
 type Router struct {
 	cfg     *config.Router
 	dialect Dialect
-	beliefs Beliefs
+	replica Replica
 	fleet   Fleet
 	pool    *pool
 	guard   *quarantine.Guard
@@ -73,22 +73,22 @@
 	metrics *metrics
 	now     func() time.Time
 
-	// noteDue has an element while a note is to be written at once.
+	// noteDue has capacity 1 and contains a value while a note is to be written soon.
 	noteDue chan struct{}
 
 	windowsMu sync.Mutex
 	windows   map[string]*retry.Window
 	replies   *replyTimes
 
-	front, ready  *http.Server
-	frontListener net.Listener
-	conns         *connTracker
-	draining      atomic.Bool
-	// stopped says that the grace time of a stop is over.
+	callerServer, readinessServer *http.Server
+	callerListener                net.Listener
+	conns                         *connTracker
+	draining                      atomic.Bool
+	// stopped means that the grace period of a shutdown has ended.
 	stopped  atomic.Bool
 	inFlight atomic.Int64
-	// endWork ends all requests in progress with a cause.
-	endWork context.CancelCauseFunc
+	// cancelRequests cancels all requests in progress with a cause.
+	cancelRequests context.CancelCauseFunc
 }
 
 // New returns a router that will listen on the addresses of cfg.
@@ -97,7 +97,7 @@
 ) *Router {
 	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Steady, l, reg)
 	r := &Router{
-		cfg: cfg, dialect: d, beliefs: b, fleet: x, log: l, now: clock.Steady,
+		cfg: cfg, dialect: d, replica: b, fleet: x, log: l, now: clock.Steady,
 		guard: guard, noteDue: make(chan struct{}, 1),
 		pool:    newPool(x, guard, cfg.FailureDomain, l),
 		metrics: newMetrics(reg), windows: make(map[string]*retry.Window),
@@ -110,11 +110,11 @@
 	b.OnTargets(r.pool.update)
 	b.OnNote(r.readNote)
 	x.SetReporter(r)
-	x.OnReport(r.pool.hear)
+	x.OnReport(r.pool.receiveReport)
 	x.OnReport(func(rep heartbeat.Report) { b.Heard(rep.Catalog, rep.Revision) })
 	x.OnReport(func(rep heartbeat.Report) { guard.Hear(rep.Node, rep.Requests) })
 	guard.OnNews(func() { go x.Announce() })
-	guard.OnPut(r.wantNote)
+	guard.OnPut(r.requestNote)
 	return r
 }
 
@@ -123,36 +123,36 @@
 
 // FillReport implements heartbeat.Reporter.
 func (r *Router) FillReport(rep *heartbeat.Report, now time.Time) {
-	rep.Catalog, rep.Revision = r.beliefs.Versions()
+	rep.Catalog, rep.Revision = r.replica.Versions()
 	rep.ConfirmedAge = -1
-	if age, ok := r.beliefs.ConfirmedAge(now); ok {
+	if age, ok := r.replica.ConfirmedAge(now); ok {
 		rep.ConfirmedAge = age.Milliseconds()
 	}
 	rep.Leaving = r.draining.Load()
-	rep.StoreLost = r.beliefs.StoreLost()
+	rep.StoreLost = r.replica.StoreLost()
 	rep.Requests = r.guard.Tell()
 	if !rep.Brief {
 		r.pool.fillReport(rep, now)
 	}
 }
 
-// Start implements kernel.Starter: it listens before it returns.
+// Start implements kernel.Starter. It listens before it returns.
 func (r *Router) Start(ctx context.Context) error {
-	go r.keepNotes(ctx)
+	go r.saveNotes(ctx)
 	go r.saveQuarantines(ctx)
-	work, endWork := context.WithCancelCause(context.WithoutCancel(ctx))
-	r.endWork = endWork
-	r.front = &http.Server{
+	work, cancelRequests := context.WithCancelCause(context.WithoutCancel(ctx))
+	r.cancelRequests = cancelRequests
+	r.callerServer = &http.Server{
 		BaseContext: func(net.Listener) context.Context { return work },
 		Handler:     http.HandlerFunc(r.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle,
-		MaxHeaderBytes: maxHeaderBytes, ConnState: r.conns.change, ErrorLog: r.log.StandardLog(),
+		MaxHeaderBytes: maxHeaderBytes, ConnState: r.conns.onStateChange, ErrorLog: r.log.StandardLog(),
 	}
-	r.ready = &http.Server{Handler: http.HandlerFunc(r.serveReady), ReadHeaderTimeout: headerTimeout}
+	r.readinessServer = &http.Server{Handler: http.HandlerFunc(r.serveReadiness), ReadHeaderTimeout: headerTimeout}
 	var err error
-	if r.frontListener, err = r.listen(r.front, r.cfg.Listen); err != nil {
+	if r.callerListener, err = r.listen(r.callerServer, r.cfg.Listen); err != nil {
 		return err
 	}
-	_, err = r.listen(r.ready, r.cfg.ReadyListen)
+	_, err = r.listen(r.readinessServer, r.cfg.ReadyListen)
 	return err
 }
 
@@ -170,18 +170,18 @@
 	return ln, nil
 }
 
-// serveReady answers the balancer's readiness checks.
-func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if r.draining.Load() || !r.beliefs.Ready() {
+// serveReadiness answers the load balancer's readiness checks.
+func (r *Router) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if r.draining.Load() || !r.replica.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// warmUpOf returns what a cold target of a service bears.
+// warmUpOf returns the limits for cold targets of a service.
 func (r *Router) warmUpOf(service string) warmup.Limit {
-	c := r.beliefs.Catalog()
+	c := r.replica.Catalog()
 	if c == nil {
 		return warmup.Limit{}
 	}
@@ -192,7 +192,7 @@
 	return s.WarmUp
 }
 
-// window returns the retry window of a service.
+// window returns the retry budget window of a service.
 func (r *Router) window(service string) *retry.Window {
 	r.windowsMu.Lock()
 	defer r.windowsMu.Unlock()
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -13,23 +13,23 @@
 	"github.com/knapweedgw/knapweedgw/catalog"
 )
 
-// After all nodes had been without power, the first requests were refused by nodes that
-// had their configuration a moment later. Most had come back once already and were lost.
+// After a power failure of all nodes, the first requests were refused by nodes that received
+// their configuration a moment later. Most of them were retries already and failed for good.
 
-// startingBeliefs are those of a node that has just begun.
-type startingBeliefs struct {
-	Beliefs
+// startingReplica is the replica of a node that has just started.
+type startingReplica struct {
+	Replica
 	catalog atomic.Pointer[catalog.Catalog]
 	begun   chan struct{}
 }
 
-func (b *startingBeliefs) Catalog() *catalog.Catalog { return b.catalog.Load() }
-func (b *startingBeliefs) Begun() <-chan struct{}    { return b.begun }
+func (b *startingReplica) Catalog() *catalog.Catalog { return b.catalog.Load() }
+func (b *startingReplica) Begun() <-chan struct{}    { return b.begun }
 
-func startingExchange(ctx context.Context) (*exchange, *startingBeliefs) {
-	b := &startingBeliefs{begun: make(chan struct{})}
+func startingExchange(ctx context.Context) (*exchange, *startingReplica) {
+	b := &startingReplica{begun: make(chan struct{})}
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "/", nil)
-	return &exchange{router: &Router{beliefs: b}, req: req}, b
+	return &exchange{router: &Router{replica: b}, req: req}, b
 }
 
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
@@ -37,24 +37,24 @@
 		is := is.New(t)
 		x, b := startingExchange(t.Context())
 		go func() {
-			time.Sleep(startWait / 2)
+			time.Sleep(configWait / 2)
 			b.catalog.Store(&catalog.Catalog{})
 			close(b.begun)
 		}()
 		is.True(x.awaitCatalog())
 		begun := time.Now()
-		is.True(x.awaitCatalog()) // at once from then on
+		is.True(x.awaitCatalog()) // does not wait any more
 		is.Equal(time.Since(begun), time.Duration(0))
 	})
 }
 
-func TestRequestIsNotHeldForAConfigurationThatDoesNotCome(t *testing.T) {
+func TestWaitForTheFirstConfigurationIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		x, _ := startingExchange(t.Context())
 		begun := time.Now()
 		is.True(!x.awaitCatalog())
-		is.Equal(time.Since(begun), startWait)
+		is.Equal(time.Since(begun), configWait)
 
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/router/warmup.go
+++ b/router/warmup.go
@@ -9,7 +9,8 @@
 	"github.com/knapweedgw/knapweedgw/warmup"
 )
 
-// warmUp says what a target bears that may be cold. It is called with the lock held.
+// warmUp sets the limits of a target that may be cold, just after its start. The caller must
+// hold p.mu.
 func (p *pool) warmUp(c *placement.Candidate, m *member, l warmup.Limit, now time.Time) {
 	if l.PerSecond <= 0 || !m.target.IsCold(l.For, now) {
 		m.warmUp = nil
@@ -18,7 +19,7 @@
 	if m.warmUp == nil {
 		m.warmUp = warmup.NewSender(warmup.Phase(routing.Rank(p.self, m.target.RunHash())), now)
 	}
-	m.note()
+	m.markReportable()
 	others := 0
 	p.fleet.Targets([]uint64{arrivalsHash(m)}, func(_ int, s heartbeat.Sum) { others = s.Running })
 	c.Cold = true
@@ -26,15 +27,16 @@
 	c.ColdRoom = m.warmUp.Room(l, others, now)
 }
 
-// arrivalsHash names the requests that nodes sent to a run of a target in the last
-// second among the targets of a report, as requests in progress. Nodes of releases that
-// don't know of it add it up for others all the same.
+// arrivalsHash identifies, in the list of targets of a report, the number of requests that a
+// node sent to a run of a target in the last second; it is encoded as requests in progress.
+// Nodes of releases without this entry ignore it, but still add it up and relay it.
 func arrivalsHash(m *member) uint64 {
 	return routing.Rank(routing.Hash("arrivals"), m.target.RunHash())
 }
 
-// coldReport tells what this node sent to a cold target in the last second.
-func (m *member) coldReport(now time.Time) []heartbeat.TargetReport {
+// arrivalsReport returns the report entry with the requests that this node sent to a cold
+// target in the last second, nil if there were none.
+func (m *member) arrivalsReport(now time.Time) []heartbeat.TargetReport {
 	if m.warmUp == nil {
 		return nil
 	}
--- a/router/warmup_test.go
+++ b/router/warmup_test.go
@@ -10,13 +10,13 @@
 	"github.com/knapweedgw/knapweedgw/warmup"
 )
 
-// Targets that have just started were sent whatever their idle look drew from all nodes
-// at once: nothing read how long they are cold.
+// The tests guard against overloading targets that have just started: they look idle, so all
+// nodes sent requests to them at once, and their cold time was not taken into account.
 
 var coldLimit = warmup.Limit{PerSecond: 4, For: 3 * time.Second}
 
-// newWarmingPool is a pool of two targets, of which the second is cold for two seconds.
-func newWarmingPool() *testPool {
+// newColdTargetPool returns a pool of two targets, of which the second is cold for two seconds.
+func newColdTargetPool() *testPool {
 	cold := run("b", 0)
 	cold.ColdFor = 2 * time.Second
 	p := newTestPool(run("a", 0), cold)
@@ -24,11 +24,11 @@
 	return p
 }
 
-// taken returns how many of n requests go to a target.
-func (p *testPool) taken(id string, n int) int {
+// sentTo returns how many of n requests go to a target.
+func (p *testPool) sentTo(id string, n int) int {
 	got := 0
 	for range n {
-		l, _, ok := p.acquire(want{service: service})
+		l, _, ok := p.acquire(criteria{service: service})
 		if ok && l.target.ID == id {
 			got++
 		}
@@ -41,32 +41,32 @@
 
 func TestColdTargetGetsTheNodesShare(t *testing.T) {
 	is := is.New(t)
-	p := newWarmingPool()
-	p.taken("b", 10)
-	p.at = p.at.Add(time.Second)
-	is.Equal(p.taken("b", 10), 1) // two nodes share 4 a second, and one is saved up
-	p.at = p.at.Add(time.Second)
-	is.True(p.taken("b", 40) > 1) // warm
+	p := newColdTargetPool()
+	p.sentTo("b", 10)
+	p.clock = p.clock.Add(time.Second)
+	is.Equal(p.sentTo("b", 10), 1) // two nodes share 4 requests per second, and one is saved up
+	p.clock = p.clock.Add(time.Second)
+	is.True(p.sentTo("b", 40) > 1) // warm
 }
 
-func TestSharesAreLeftForWhatOthersSent(t *testing.T) {
+func TestArrivalsFromOtherNodesReduceTheShare(t *testing.T) {
 	is := is.New(t)
-	p := newWarmingPool()
-	p.taken("b", 1)
-	p.at = p.at.Add(time.Second)
+	p := newColdTargetPool()
+	p.sentTo("b", 1)
+	p.clock = p.clock.Add(time.Second)
 	p.fleet.report(p.pool, heartbeat.TargetReport{Target: uint32(arrivalsHash(p.members["b"])), Running: 4})
-	is.Equal(p.taken("b", 10), 0)
+	is.Equal(p.sentTo("b", 10), 0)
 }
 
-func TestArrivalsAreToldWhileATargetIsCold(t *testing.T) {
+func TestArrivalsAreReportedWhileATargetIsCold(t *testing.T) {
 	is := is.New(t)
-	p := newWarmingPool()
-	p.taken("b", 1)
-	p.at = p.at.Add(time.Second)
-	is.Equal(p.taken("b", 10), 1)
-	told := func() int {
+	p := newColdTargetPool()
+	p.sentTo("b", 1)
+	p.clock = p.clock.Add(time.Second)
+	is.Equal(p.sentTo("b", 10), 1)
+	reported := func() int {
 		var r heartbeat.Report
-		p.fillReport(&r, p.at)
+		p.fillReport(&r, p.clock)
 		for _, x := range r.Targets {
 			if x.Target == uint32(arrivalsHash(p.members["b"])) {
 				return int(x.Running)
@@ -74,42 +74,43 @@
 		}
 		return 0
 	}
-	is.Equal(told(), 1)
-	p.at = p.at.Add(2 * time.Second)
-	is.Equal(told(), 0)
+	is.Equal(reported(), 1)
+	p.clock = p.clock.Add(2 * time.Second)
+	is.Equal(reported(), 0)
 }
 
-// A domain that is taken back may be cold, and its targets' entries say so late.
-func TestDomainTakenBackIsCold(t *testing.T) {
+// Targets of a failure domain may be cold after its evacuation ends, and their entries report
+// that late.
+func TestFailureDomainIsColdAfterItsEvacuation(t *testing.T) {
 	is := is.New(t)
 	a, b := run("a", 0), run("b", 0)
 	b.FailureDomain = "y"
 	p := newTestPool(a, b)
 	p.warmUpOf = func(string) warmup.Limit { return coldLimit }
 	evacuate := func(domains map[string]bool) {
-		p.keeper.Evacuate(domains, p.at)
+		p.keeper.Evacuate(domains, p.clock)
 		p.update(p.keeper.Changes())
 	}
 	evacuate(map[string]bool{"y": true})
-	is.Equal(p.taken("b", 20), 0)
+	is.Equal(p.sentTo("b", 20), 0)
 	evacuate(nil)
-	is.True(p.taken("b", 20) <= 1)
-	p.at = p.at.Add(coldLimit.For)
-	is.True(p.taken("b", 20) > 1)
+	is.True(p.sentTo("b", 20) <= 1)
+	p.clock = p.clock.Add(coldLimit.For)
+	is.True(p.sentTo("b", 20) > 1)
 }
 
 func TestServiceWithoutALimitIsNeverCold(t *testing.T) {
 	is := is.New(t)
-	p := newWarmingPool()
+	p := newColdTargetPool()
 	p.warmUpOf = func(string) warmup.Limit { return warmup.Limit{For: time.Minute} }
-	is.True(p.taken("b", 40) > 5)
+	is.True(p.sentTo("b", 40) > 5)
 }
 
-// An entry of a target that says nothing more of being cold ends that.
-func TestEntryEndsTheColdTime(t *testing.T) {
+// An entry without a cold time ends the cold time of an earlier one.
+func TestEntryWithoutAColdTimeEndsIt(t *testing.T) {
 	is := is.New(t)
-	p := newWarmingPool()
-	is.True(p.members["b"].target.IsCold(0, p.at))
+	p := newColdTargetPool()
+	is.True(p.members["b"].target.IsCold(0, p.clock))
 	p.put(run("b", 0))
-	is.True(!p.members["b"].target.IsCold(0, p.at))
+	is.True(!p.members["b"].target.IsCold(0, p.clock))
 }
