--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to targets and says, of a request that
-// failed, whether any byte of it was handed to the network.
+// Package upstream sends requests to targets. For a failed request it reports whether any byte
+// was handed to the network.
 package upstream
 
 import (
@@ -18,30 +18,29 @@
 	"github.com/knapweedgw/knapweedgw/socket"
 )
 
-// ErrGateClosed is returned by a write that its gate forbade.
+// ErrGateClosed is the cause of an error of Client.Do if its gate function forbade the request.
 var ErrGateClosed = errors.New("request may no longer be sent")
 
-// Config sets how a client keeps connections.
+// Config configures the connections of a Client.
 type Config struct {
-	// Fresh gives each request a connection of its own.
+	// Fresh means that each request gets a new connection.
 	Fresh bool
-	// MaxIdle is the most idle connections kept to one target, IdleTimeout
-	// how long each is kept.
+	// MaxIdle is the maximum number of idle connections to one target, IdleTimeout how long
+	// each is kept.
 	MaxIdle     int
 	IdleTimeout time.Duration
 	DialTimeout time.Duration
-	// Unacked is how long sent bytes may stay unacknowledged; 0 for the
-	// system's limit.
+	// Unacked is how long sent bytes may stay unacknowledged; 0 for the operating system's
+	// limit.
 	Unacked   time.Duration
 	KeepAlive net.KeepAliveConfig
 }
 
-// Client sends to targets. net/http's transport repeats some requests by
-// itself when a kept connection turns out to be closed: those without a body
-// that are idempotent by method or carry an Idempotency-Key. A request that
-// may not be repeated must therefore have a body of unknown content (see
-// NoReplay) or go to a Fresh client, whose connections the transport never
-// repeats on.
+// Client sends requests to targets. The transport of net/http retries some requests on its own
+// when a kept connection turns out to be closed: those without a body that are idempotent by
+// method or have an Idempotency-Key. A request that must not be repeated therefore needs a body
+// of unknown content (see NoReplay) or a Fresh client, on whose new connections the transport
+// never retries.
 type Client struct{ http *http.Client }
 
 // New returns a client.
@@ -64,7 +63,7 @@
 			DisableCompression:  true,
 			DisableKeepAlives:   c.Fresh,
 		},
-		// An answer is the target's own, redirects included.
+		// Redirects are not followed: they are answers of the target like any other.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
@@ -72,24 +71,23 @@
 // CloseIdle closes the connections that are not in use.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// NoReplay returns the body of a request that the transport must not repeat
-// by itself.
+// NoReplay wraps the body of a request so that the transport cannot repeat the request.
 func NoReplay(body io.Reader) io.ReadCloser { return io.NopCloser(readerOnly{body}) }
 
 type readerOnly struct{ io.Reader }
 
-// IsDial says whether a failed request got no connection.
+// IsDial reports whether a request failed because no connection could be opened.
 func IsDial(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// IsRefused says whether a connection was refused: nothing listens at the target's
-// address, while its VM lives.
+// IsRefused reports whether a connection was refused: the target's VM is alive, but nothing
+// listens at the target's address.
 func IsRefused(err error) bool { return IsDial(err) && errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsLocal says whether a request failed for want of this node's own resources,
-// which says nothing of the target.
+// IsLocal reports whether a request failed because this node lacked a resource, which is no
+// evidence against the target.
 func IsLocal(err error) bool {
 	for _, cause := range []error{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
@@ -101,9 +99,9 @@
 	return false
 }
 
-// Do sends req. gate is asked right before the first byte is written and may
-// forbid it. On failure Do says how far the request got; the connection is
-// closed by then, so that NotSent is final.
+// Do sends req. gate is called right before the first byte is written and may forbid the
+// request. On failure, Do returns how far the request got; the connection is closed by then, so
+// NotSent is final.
 func (c *Client) Do(req *http.Request, gate func() bool) (*http.Response, retry.Progress, error) {
 	var mu sync.Mutex
 	var conns []*sendConn
@@ -132,8 +130,8 @@
 	return nil, progress, err
 }
 
-// sendConn is a connection that knows whether any byte of the current request
-// was handed to the network.
+// sendConn is a connection that records whether any byte of the current request was handed to
+// the network.
 type sendConn struct {
 	net.Conn
 
@@ -150,7 +148,8 @@
 	c.gate, c.wrote = gate, false
 }
 
-// seal forbids any further write and says whether there was one.
+// seal closes the connection, so that nothing more can be written, and reports whether a byte
+// of the current request was written.
 func (c *sendConn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +166,7 @@
 	return c.Conn.Write(p)
 }
 
-// ReadFrom sends a body through Write.
+// ReadFrom sends a body through Write, so that its gate is checked.
 func (c *sendConn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(writerOnly{c}, r)
 }
@@ -183,7 +182,8 @@
 	if !c.wrote && c.gate != nil && !c.gate() {
 		return ErrGateClosed
 	}
-	// The gate is done with; it would keep the request alive while the connection idles.
+	// The gate is released: its reference would keep the request in memory while the connection
+	// is idle.
 	c.wrote, c.gate = true, nil
 	return nil
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -20,9 +20,9 @@
 	return &url.Error{Op: "Post", URL: "http:/", Err: &net.OpError{Op: "dial", Net: "tcp", Err: sys}}
 }
 
-// A node without a descriptor left can't open a connection; that says nothing of
+// A node without free file descriptors cannot open a connection. That is no evidence against
 // the target.
-func TestLackOfDescriptorsIsTheNodesOwn(t *testing.T) {
+func TestDescriptorExhaustionIsLocal(t *testing.T) {
 	is := is.New(t)
 	is.True(IsLocal(dialError(syscall.EMFILE)))
 	is.True(IsLocal(dialError(syscall.EADDRNOTAVAIL)))
@@ -30,9 +30,9 @@
 	is.True(!IsLocal(nil))
 }
 
-// Guards against: an idle connection kept the last request that was sent on it alive, by
-// its gate, so that a node's memory grew with its idle connections.
-func TestIdleConnectionLetsGoOfItsRequest(t *testing.T) {
+// Guards against an idle connection keeping the last request that was sent on it in memory,
+// through its gate function, so that a node's memory grew with its idle connections.
+func TestIdleConnectionDoesNotRetainItsRequest(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(server.Close)
