--- a/heartbeat/exchange.go
+++ b/heartbeat/exchange.go
@@ -14,19 +14,19 @@
 	"github.com/knapweedgw/knapweedgw/kernel"
 )
 
-// ServiceID is the kernel name of the Exchange.
+// ServiceID is the kernel ID of the Exchange.
 const ServiceID kernel.ID = "heartbeat.exchange"
 
-// maxDatagram is the largest message read, in bytes: maxSums targets with members
-// and uses.
+// maxDatagram is the size of the receive buffer in bytes. The largest message has maxSums
+// targets, members and uses.
 const maxDatagram = 16 << 10
 
-// Reporter fills in what this node says of itself.
+// Reporter fills in this node's report.
 type Reporter interface {
 	FillReport(r *Report, now time.Time)
 }
 
-// Exchange sends this node's reports and keeps the view of the others.
+// Exchange sends this node's reports and maintains the view of the other nodes.
 type Exchange struct {
 	cfg      Config
 	self     string
@@ -41,35 +41,36 @@
 	mu      sync.Mutex
 	machine *Machine
 	alive   map[string]bool
-	// groups and lives are those of notedAt.
-	groups, lives int
-	notedAt       time.Time
-	began         time.Time
-	// leaving says that this node stops.
+	// groups is the last logged number of groups, liveNodes the number of live nodes at
+	// checkedAt.
+	groups, liveNodes int
+	checkedAt         time.Time
+	started           time.Time
+	// leaving is set when this node drains.
 	leaving bool
 }
 
-// NewExchange returns an exchange for the node at self, an ip:port. seeds
-// returns addresses at which other nodes may be; it is asked again and again.
+// NewExchange returns an exchange for the node at self, an ip:port. seeds returns addresses at
+// which other nodes may be; it is called at every step.
 func NewExchange(cfg Config, self string, seeds func() []string, l *log.Logger, reg prometheus.Registerer) *Exchange {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	e := &Exchange{
 		cfg: cfg, self: self, seeds: seeds, log: l, now: time.Now, metrics: newMetrics(reg),
 		machine: NewMachine(cfg, self, time.Now().UnixNano(), rng), alive: make(map[string]bool),
-		groups: 1, lives: 1, began: time.Now(),
+		groups: 1, liveNodes: 1, started: time.Now(),
 	}
-	e.machine.onRelay = e.noteRelay
+	e.machine.onRelayChange = e.recordRelayChange
 	return e
 }
 
 // ID implements kernel.Service.
 func (e *Exchange) ID() kernel.ID { return ServiceID }
 
-// SetReporter names who fills in the reports. It must be called before Start.
+// SetReporter sets the source of this node's reports. It must be called before Start.
 func (e *Exchange) SetReporter(r Reporter) { e.reporter = r }
 
-// OnReport calls f after each report received, also the brief ones that come with
-// the sum of a group. It must be called before Start.
+// OnReport registers f to be called after each received report, including the brief ones in
+// sums and subscriptions. It must be called before Start.
 func (e *Exchange) OnReport(f func(Report)) { e.onReport = append(e.onReport, f) }
 
 // Start implements kernel.Starter.
@@ -86,12 +87,13 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: it tells the others that this node leaves.
+// Stop implements kernel.Stopper. It sends a last brief report to all known nodes, so that they
+// learn at once that this node leaves.
 func (e *Exchange) Stop(context.Context) error {
 	e.mu.Lock()
 	all := e.machine.view.Addresses()
 	e.mu.Unlock()
-	e.brief(e.now(), all)
+	e.sendBrief(e.now(), all)
 	return errors.Wrap(e.conn.Close(), "heartbeat: close")
 }
 
@@ -108,42 +110,42 @@
 	}
 }
 
-// step sends what is due and returns the time until the next step.
+// step sends the messages that are due and returns the time until the next step.
 func (e *Exchange) step(now time.Time) time.Duration {
 	own := e.report(now, false)
 	e.mu.Lock()
 	out, next, err := e.machine.Step(own, e.seeds(), now)
-	if now.Sub(e.notedAt) >= e.cfg.Interval {
-		e.notedAt = now
-		e.noteLives(now)
-		e.noteGroups()
+	if now.Sub(e.checkedAt) >= e.cfg.Interval {
+		e.checkedAt = now
+		e.updateLiveness(now)
+		e.updateGroups()
 	}
 	e.mu.Unlock()
 	e.send(out, err)
 	return next
 }
 
-// report has the reporter fill in a report. It must be called without the lock: the
-// reporter asks for what other nodes say.
+// report returns the Reporter's report. It must be called without holding the lock, since the
+// Reporter queries the exchange.
 func (e *Exchange) report(now time.Time, brief bool) Report {
 	r := Report{Brief: brief}
 	e.reporter.FillReport(&r, now)
 	return r
 }
 
-// Announce tells some live nodes at once which versions this one has. Each that
-// lacks them tells others in turn when it has them, so that a change reaches a
-// fleet of hundreds in three or four steps.
+// Announce sends this node's versions to some live nodes at once. Each of them that lacks these
+// versions announces them in turn once it has them, so a change reaches a fleet of hundreds of
+// nodes in three or four hops.
 func (e *Exchange) Announce() {
 	now := e.now()
 	e.mu.Lock()
-	to := e.machine.view.LiveAddresses(now, e.cfg.Announced)
+	to := e.machine.view.LiveAddresses(now, e.cfg.AnnounceFanout)
 	e.mu.Unlock()
-	e.brief(now, to)
+	e.sendBrief(now, to)
 }
 
-// brief sends a report without targets to some nodes.
-func (e *Exchange) brief(now time.Time, to []string) {
+// sendBrief sends a report without targets to some nodes.
+func (e *Exchange) sendBrief(now time.Time, to []string) {
 	own := e.report(now, true)
 	e.mu.Lock()
 	out, err := e.machine.Brief(own, to, now)
@@ -153,7 +155,7 @@
 
 func (e *Exchange) send(out []Datagram, err error) {
 	if err != nil {
-		e.log.Error("message to other nodes not encoded", "err", err)
+		e.log.Error("cannot encode message", "err", err)
 	}
 	for _, d := range out {
 		e.sendTo(d.To, d.Body)
@@ -163,28 +165,29 @@
 func (e *Exchange) sendTo(address string, raw []byte) {
 	addr, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
-		e.log.Warn("address of a node is unusable; correct the seeds", "addr", address, "err", err)
+		e.log.Warn("cannot resolve node address; correct the seeds", "addr", address, "err", err)
 		return
 	}
-	// A lost datagram is replaced by the next one.
+	// Best effort: a lost datagram is superseded by the next one.
 	if _, err := e.conn.WriteToUDP(raw, addr); err != nil {
-		e.log.Debug("message not sent", "addr", address, "err", err)
+		e.log.Debug("cannot send message", "addr", address, "err", err)
 		return
 	}
 	e.metrics.sent.Inc()
 	e.metrics.bytes.Add(float64(len(raw)))
 }
 
-// noteLives logs nodes that were lost or regained. It is called with the lock held.
-func (e *Exchange) noteLives(now time.Time) {
+// updateLiveness counts the live nodes and logs those that were lost or regained. The caller
+// holds the lock.
+func (e *Exchange) updateLiveness(now time.Time) {
 	v := e.machine.view
-	lost := e.cfg.lostFor(v.interval())
-	e.lives = 1
+	lost := e.cfg.lostTimeout(v.interval())
+	e.liveNodes = 1
 	var heard, silent []string
 	for addr, p := range v.peers {
 		live := p.live(lost, now)
 		if live {
-			e.lives++
+			e.liveNodes++
 		}
 		if live == e.alive[addr] {
 			continue
@@ -196,21 +199,21 @@
 			silent = append(silent, addr)
 		}
 	}
-	e.logLives("heard", heard, now)
-	e.logLives("lost", silent, now)
+	e.logNodeChanges("heard", heard, now)
+	e.logNodeChanges("lost", silent, now)
 }
 
-// Nodes that are lost or regained together have a line each up to lineEach; more have one
-// line, which names the first lineSample of them.
+// Up to maxNodeLines nodes that are lost or regained at the same time are logged on a line
+// each; more are logged on a single line that names the first nodeSample of them.
 const (
-	lineEach   = 8
-	lineSample = 3
+	maxNodeLines = 8
+	nodeSample   = 3
 )
 
-// logLives is called with the lock held.
-func (e *Exchange) logLives(what string, nodes []string, now time.Time) {
-	if len(nodes) > lineEach {
-		e.log.Info("nodes "+what, "count", len(nodes), "first", nodes[:lineSample], "lives", e.lives)
+// logNodeChanges logs the nodes that were lost or regained. The caller holds the lock.
+func (e *Exchange) logNodeChanges(what string, nodes []string, now time.Time) {
+	if len(nodes) > maxNodeLines {
+		e.log.Info("nodes "+what, "count", len(nodes), "first", nodes[:nodeSample], "lives", e.liveNodes)
 		return
 	}
 	for _, addr := range nodes {
@@ -219,8 +222,9 @@
 	}
 }
 
-// noteGroups logs a change of the groups. It is called with the lock held.
-func (e *Exchange) noteGroups() {
+// updateGroups sets the metric and logs a change of the number of groups. The caller holds the
+// lock.
+func (e *Exchange) updateGroups() {
 	v := e.machine.view
 	e.metrics.groups.Set(float64(v.groups))
 	if v.groups == e.groups {
@@ -231,11 +235,12 @@
 	e.groups = v.groups
 }
 
-// noteRelay counts and logs a change of a relay. It is called with the lock held.
-func (e *Exchange) noteRelay(a asked) {
+// recordRelayChange counts a relay change and logs it if the relay was silent. The caller holds
+// the lock.
+func (e *Exchange) recordRelayChange(a relayRequest) {
 	e.metrics.relays.WithLabelValues(string(a.reason)).Inc()
 	if a.reason == relaySilent {
-		e.log.Info("relay silent; the next is asked", "group", a.group, "peers", a.before, "next", a.relays)
+		e.log.Info("relay silent; asking others", "group", a.group, "peers", a.previous, "next", a.relays)
 	}
 }
 
@@ -247,35 +252,35 @@
 			return
 		}
 		if err != nil {
-			e.log.Debug("message not received", "err", err)
+			e.log.Debug("cannot receive message", "err", err)
 			continue
 		}
-		e.take(buf[:n])
+		e.handle(buf[:n])
 	}
 }
 
-func (e *Exchange) take(raw []byte) {
+func (e *Exchange) handle(raw []byte) {
 	now := e.now()
 	e.mu.Lock()
 	a, err := e.machine.Receive(raw, now)
 	e.mu.Unlock()
 	if err != nil {
-		e.log.Warn("message not understood; run the same version on all nodes", "err", err)
+		e.log.Warn("cannot decode message; run the same version on all nodes", "err", err)
 		return
 	}
 	e.metrics.received.Inc()
 	if !a.News {
 		return
 	}
-	if a.Stranger {
-		e.brief(now, []string{a.Report.Node})
+	if a.NewPeer {
+		e.sendBrief(now, []string{a.Report.Node})
 	}
 	for _, f := range e.onReport {
 		f(a.Report)
 	}
 }
 
-// Targets calls f for each hash with what the other nodes say of that target.
+// Targets calls f for each hash with the sum of what the other nodes report about that target.
 func (e *Exchange) Targets(hashes []uint64, f func(i int, s Sum)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -284,32 +289,32 @@
 	}
 }
 
-// Lives returns the number of live nodes, this one included, of at most an interval
-// and a step ago.
+// Lives returns the number of live nodes, including this one. It is at most an interval and a
+// step old.
 func (e *Exchange) Lives() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.lives
+	return e.liveNodes
 }
 
-// Known returns the number of nodes, this one included, that there are or were within
-// the last minute. Of a node that can't hear the others any more, or has just begun, it
-// is still the whole fleet: what each may have of a common bound must not grow then.
+// Known returns the number of nodes, including this one, that are live or were within the last
+// minute. For a node that has lost contact with the others, or has just started, it is still
+// the size of the whole fleet: each node's share of a fleet-wide limit must not grow then.
 func (e *Exchange) Known() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.machine.view.size()
-	if e.now().Sub(e.began) < acquaint {
-		return max(known, assumedFleet)
+	if e.now().Sub(e.started) < discoveryTime {
+		return max(known, assumedFleetSize)
 	}
 	return known
 }
 
 const (
-	// acquaint is how long a node that has just begun needs to hear of all others.
-	acquaint = time.Second
-	// assumedFleet is the largest fleet that is planned for.
-	assumedFleet = 370
+	// discoveryTime is how long a node needs after its start to discover all other nodes.
+	discoveryTime = time.Second
+	// assumedFleetSize is the largest fleet size that the design supports.
+	assumedFleetSize = 370
 )
 
 // Interval returns the time between two messages to the same node.
@@ -319,29 +324,31 @@
 	return e.machine.view.interval()
 }
 
-// CountAge returns how old the other nodes' counts get while no message is lost.
+// CountAge returns the maximum age of the other nodes' counts while no message is lost.
 func (e *Exchange) CountAge() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cfg.CountAgeFor(e.machine.view.size())
 }
 
-// Ahead returns a live node that knows a newer configuration or newer targets.
+// Ahead returns a live node with a newer configuration than catalog or newer targets than
+// revision; ok is false if there is none.
 func (e *Exchange) Ahead(catalog, revision int64) (node string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.Ahead(catalog, revision, e.now(), e.machine.subs.rng)
 }
 
-// Rank returns how many live nodes go before this one as watchers of the store,
-// and how many others were heard.
+// Rank returns how many live nodes precede this one in the order of the store's watchers, and
+// how many other live nodes there are.
 func (e *Exchange) Rank(storeLost bool) (rank, heard int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.Rank(storeLost, e.leaving, e.now())
 }
 
-// Drain implements kernel.Drainer: other nodes take on this one's duties.
+// Drain implements kernel.Drainer. From then on this node ranks last as a watcher, so that
+// other nodes take over its duties.
 func (e *Exchange) Drain(context.Context) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -349,16 +356,16 @@
 	return nil
 }
 
-// Confirmed returns when a node at the given revision last knew that it is the
-// store's newest; zero for never.
+// Confirmed returns when a node at the given revision last confirmed that this revision is the
+// store's newest. It is zero if none has.
 func (e *Exchange) Confirmed(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.Confirmed(revision)
 }
 
-// ConfirmedBeyond returns when a live node at a later revision last knew that that is the
-// store's newest; zero for never.
+// ConfirmedBeyond returns when a live node at a later revision than the given one last
+// confirmed that its revision is the store's newest. It is zero if none has.
 func (e *Exchange) ConfirmedBeyond(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/heartbeat/fleet_counts_test.go
+++ b/heartbeat/fleet_counts_test.go
@@ -11,34 +11,34 @@
 	"github.com/knapweedgw/knapweedgw/affinity"
 )
 
-// The aims for the news between nodes, at any size of the fleet up to 370 nodes.
+// Limits for the exchange in fleets of up to 370 nodes.
 const (
-	medianAge = 500 * time.Millisecond
-	lateAge   = time.Second // 99 in 100 are younger
-	// goneWithin is when nobody counts a dead node any more, and the longest that a
-	// live one may be left out.
-	goneWithin    = 2500 * time.Millisecond
-	confirmedIn   = time.Second
-	mostMessages  = 100.0    // a second, at an ordinary node
-	mostBytes     = 27_000.0 // a second, at the average node
-	warmUp        = 4 * time.Second
-	usualLoss     = 0.01
-	busiestFactor = 1.5 // a group's size varies
+	maxMedianAge = 500 * time.Millisecond
+	maxP99Age    = time.Second // of 99 in 100 counts
+	// convergenceTime is the time after which no node counts a dead node any more, and the
+	// longest time for which a live one may be missing.
+	convergenceTime  = 2500 * time.Millisecond
+	confirmationTime = time.Second
+	maxMessages      = 100.0    // per second, at the median node
+	maxBytes         = 27_000.0 // per second, at the average node
+	warmUp           = 4 * time.Second
+	usualLoss        = 0.01
+	busiestFactor    = 1.5 // group sizes vary
 )
 
-// Counts are young at every size, and nobody is left out or counted twice.
-func TestCountsAreYoung(t *testing.T) {
+// Counts are fresh at every fleet size, and no node is missing or counted twice.
+func TestCountsAreFresh(t *testing.T) {
 	t.Parallel()
-	countsAreYoung(t, 7, 16, 17, 66)
+	testCountAge(t, 7, 16, 17, 66)
 }
 
-// The same in the largest fleets.
-func TestCountsAreYoungInLargeFleets(t *testing.T) {
+// Counts are fresh in the largest fleets too.
+func TestCountsAreFreshInLargeFleets(t *testing.T) {
 	t.Parallel()
-	countsAreYoung(t, largeFleet, 370)
+	testCountAge(t, largeFleet, 370)
 }
 
-func countsAreYoung(t *testing.T, sizes ...int) {
+func testCountAge(t *testing.T, sizes ...int) {
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
@@ -53,7 +53,7 @@
 				age, known := f.age(t, at, of)
 				if !known {
 					missing++
-					age = goneWithin // older than what is counted may be
+					age = convergenceTime // at least the age at which counts are dropped
 				}
 				ages = append(ages, age)
 			})
@@ -65,27 +65,27 @@
 			}
 			slices.Sort(messages)
 			median, late := quantile(ages, 0.5), quantile(ages, 0.99)
-			t.Logf("%d nodes: age %v at the median, %v at the 99th centile, %v at most, left out %d of %d; "+
+			t.Logf("%d nodes: age %v at the median, %v at the 99th percentile, %v at most, missing %d of %d; "+
 				"messages %.0f a second at the median, %.0f at the busiest; %.0f bytes a second at the average",
 				n, median, late, ages[len(ages)-1],
 				missing, len(ages), messages[n/2], messages[n-1], bytes)
 			is := is.New(t)
-			is.True(median <= medianAge)
-			is.True(late <= lateAge)
-			is.True(messages[n/2] < mostMessages)
-			is.True(messages[n-1] < busiestFactor*mostMessages)
+			is.True(median <= maxMedianAge)
+			is.True(late <= maxP99Age)
+			is.True(messages[n/2] < maxMessages)
+			is.True(messages[n-1] < busiestFactor*maxMessages)
 		})
 	}
 }
 
-// The largest fleet of the aim: 370 nodes send 4,600 requests a second to 5,500
-// targets. A request lasts 0.56 s on average where long and short answers mix, so that
-// each node has 7 in progress; a prompt part's use is told each time that it is new.
+// The largest supported fleet has 370 nodes that send 4,600 requests per second to 5,500
+// targets. A request takes 0.56 s on average over long and short answers, so that each node has
+// 7 in progress. The use of a prompt part is reported each time it is new.
 func TestBytesOfTheLargestFleet(t *testing.T) {
 	t.Parallel()
 	const (
 		nodes, targets, running = 370, 5500, 7
-		newUses                 = 0.5 // a second and node
+		newUses                 = 0.5 // per second and node
 	)
 	is, f := is.New(t), newFleet(nodes, 12)
 	f.fill = func(_ *fleetNode, r *Report) {
@@ -107,5 +107,5 @@
 	}
 	average := float64(sum) / nodes / d.Seconds()
 	t.Logf("%.0f bytes a second at the average node, packet headers included", average)
-	is.True(average <= mostBytes)
+	is.True(average <= maxBytes)
 }
--- a/heartbeat/fleet_faults_test.go
+++ b/heartbeat/fleet_faults_test.go
@@ -9,11 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// large has the faults played in large fleets too, which takes minutes.
+// large enables the fault tests in large fleets, which take minutes.
 var large = flag.Bool("large", false, "play faults also in fleets of 295 nodes")
 
-// faultSizes are the sizes of fleets in which faults are played: of one group and of
-// several, and with large those given.
+// faultSizes returns the fleet sizes for the fault tests: one group, several groups, and either
+// largeFleet with -large or the additional sizes given.
 func faultSizes(more ...int) []int {
 	sizes := []int{7, 17, 66}
 	if *large {
@@ -24,22 +24,22 @@
 
 const largeFleet = 295
 
-// settled is a fleet after its start, with the usual loss.
-func settled(n int, seed uint64) *fleet {
+// settledFleet returns a fleet that has run for warmUp with the usual loss.
+func settledFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, seed)
 	f.loss = usualLoss
 	f.run(warmUp)
 	return f
 }
 
-// gaps follows for how long live nodes are left out somewhere.
+// gaps tracks how long live nodes are missing from the counts of other nodes.
 type gaps struct {
 	since   map[[2]int]time.Time
 	longest time.Duration
 }
 
-// watch runs the fleet for d and notes how long any node is left out at any other, of
-// those that look says count.
+// watch runs the fleet for d and measures how long any node is missing at any other, of the
+// pairs for which counts returns true.
 func (f *fleet) watch(t *testing.T, d time.Duration, counts func(at, of *fleetNode) bool) *gaps {
 	t.Helper()
 	const every = 100 * time.Millisecond
@@ -64,9 +64,9 @@
 
 func everyPair(_, _ *fleetNode) bool { return true }
 
-// counted returns for how many pairs a live node counts something of a node that is
-// none.
-func (f *fleet) counted(t *testing.T, of func(n *fleetNode) bool) int {
+// countedPairs returns the number of pairs in which a live node has counts of a node for which
+// of returns true.
+func (f *fleet) countedPairs(t *testing.T, of func(n *fleetNode) bool) int {
 	t.Helper()
 	pairs := 0
 	f.all(func(at, n *fleetNode) {
@@ -77,21 +77,21 @@
 	return pairs
 }
 
-// Half of the nodes die at once. Nobody counts them after that, and nobody who lives
-// is left out for longer.
+// Half of the nodes die at once. After convergenceTime no node counts them, and no live node is
+// missing for longer than that.
 func TestHalfOfTheNodesDie(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes(largeFleet) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 2)
+			is, f := is.New(t), settledFleet(n, 2)
 			for _, node := range f.nodes[:n/2] {
 				node.alive = false
 			}
-			g := f.watch(t, goneWithin, everyPair)
-			is.Equal(f.counted(t, func(n *fleetNode) bool { return !n.alive }), 0)
-			t.Logf("%d nodes: a live node is left out for %v at most", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			g := f.watch(t, convergenceTime, everyPair)
+			is.Equal(f.countedPairs(t, func(n *fleetNode) bool { return !n.alive }), 0)
+			t.Logf("%d nodes: a live node is missing for %v at most", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 			f.run(warmUp)
 			for _, node := range f.nodes[n/2:] {
 				is.Equal(node.view.Lives(f.now), n-n/2)
@@ -100,8 +100,8 @@
 	}
 }
 
-// All nodes start at once and know three of them. Each counts each other within three
-// seconds, and goes on to.
+// All nodes start at once with three of them as seeds. Within three seconds each counts each
+// other, and it keeps doing so.
 func TestAllNodesStart(t *testing.T) {
 	t.Parallel()
 	const within = 3 * time.Second
@@ -110,31 +110,31 @@
 			t.Parallel()
 			is, f := is.New(t), newFleet(n, 3)
 			f.loss = usualLoss
-			g := f.watch(t, within+goneWithin, everyPair)
-			t.Logf("%d nodes: left out for %v at most from the start on", n, g.longest)
+			g := f.watch(t, within+convergenceTime, everyPair)
+			t.Logf("%d nodes: missing for %v at most after the start", n, g.longest)
 			is.True(g.longest <= within)
 		})
 	}
 }
 
-// A node that comes back after it was frozen brings no counts back, and is counted
-// again.
-func TestFrozenNodeComesBack(t *testing.T) {
+// A node that was frozen resumes. Old messages in its queue don't bring outdated counts back,
+// and it is counted again.
+func TestFrozenNodeResumes(t *testing.T) {
 	t.Parallel()
 	const frozen = 5 * time.Second
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 4)
+			is, f := is.New(t), settledFleet(n, 4)
 			node := f.nodes[n/3]
 			node.frozen = true
-			f.run(goneWithin)
-			is.Equal(f.counted(t, func(n *fleetNode) bool { return n == node }), 0)
-			f.run(frozen - goneWithin)
+			f.run(convergenceTime)
+			is.Equal(f.countedPairs(t, func(n *fleetNode) bool { return n == node }), 0)
+			f.run(frozen - convergenceTime)
 			node.frozen = false
 			oldest := time.Duration(0)
 			for range 25 {
-				f.run(goneWithin / 25)
+				f.run(convergenceTime / 25)
 				f.all(func(at, of *fleetNode) {
 					if age, known := f.age(t, at, of); known && at != node {
 						oldest = max(oldest, age)
@@ -142,75 +142,76 @@
 				})
 			}
 			t.Logf("%d nodes: counts are %v old at most at the others", n, oldest)
-			is.True(oldest <= goneWithin)
-			is.Equal(f.counted(t, func(n *fleetNode) bool { return n == node }), n-1)
+			is.True(oldest <= convergenceTime)
+			is.Equal(f.countedPairs(t, func(n *fleetNode) bool { return n == node }), n-1)
 		})
 	}
 }
 
-// A node hears others, but a third of the nodes don't hear it, some in its own group.
-// The others of its group tell of it.
-func TestNodeThatSomeDoNotHear(t *testing.T) {
+// A third of the nodes don't receive the messages of one node that itself receives all; some of
+// them are in its group. Nodes of other groups get its counts from the rest of its group.
+func TestNodeUnreachableForSome(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 5)
+			is, f := is.New(t), settledFleet(n, 5)
 			node := f.nodes[n/2]
-			deaf := func(to *fleetNode) bool { return to.index%3 == 0 }
-			f.cut = func(from, to *fleetNode) bool { return from == node && deaf(to) }
+			unreachable := func(to *fleetNode) bool { return to.index%3 == 0 }
+			f.cut = func(from, to *fleetNode) bool { return from == node && unreachable(to) }
 			groupMate := func(at *fleetNode) bool { return at.view.inOwnGroup(&peer{key: node.view.key}) }
-			g := f.watch(t, 8*goneWithin, func(at, of *fleetNode) bool {
-				return of != node || !deaf(at) || !groupMate(at)
+			g := f.watch(t, 8*convergenceTime, func(at, of *fleetNode) bool {
+				return of != node || !unreachable(at) || !groupMate(at)
 			})
-			t.Logf("%d nodes: left out for %v at most", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			t.Logf("%d nodes: missing for %v at most", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 		})
 	}
 }
 
-// A relay that sends nothing to other groups, though it hears all, is left for another.
-func TestMuteRelayIsLeft(t *testing.T) {
+// A relay that receives all messages but whose own are all lost is replaced.
+func TestRelayThatCannotSendIsReplaced(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 10)
+			is, f := is.New(t), settledFleet(n, 10)
 			node := f.nodes[n/2]
 			f.cut = func(from, _ *fleetNode) bool { return from == node }
-			g := f.watch(t, 4*goneWithin, func(at, of *fleetNode) bool { return at != node && of != node })
-			is.Equal(f.counted(t, func(n *fleetNode) bool { return n == node }), 0)
-			t.Logf("%d nodes: left out for %v at most", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			g := f.watch(t, 4*convergenceTime, func(at, of *fleetNode) bool { return at != node && of != node })
+			is.Equal(f.countedPairs(t, func(n *fleetNode) bool { return n == node }), 0)
+			t.Logf("%d nodes: missing for %v at most", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 		})
 	}
 }
 
-// A node sends and hears nothing, so that as a relay it would tell of itself alone.
-func TestDeafNodeRelaysNothing(t *testing.T) {
+// A node sends messages but receives none. As a relay it would send a sum of its own counts
+// only, so it must not be used as one.
+func TestNodeThatCannotReceiveIsNoRelay(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 6)
+			is, f := is.New(t), settledFleet(n, 6)
 			node := f.nodes[n/2]
 			f.cut = func(_, to *fleetNode) bool { return to == node }
-			g := f.watch(t, 4*goneWithin, func(at, _ *fleetNode) bool { return at != node })
-			t.Logf("%d nodes: left out for %v at most", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			g := f.watch(t, 4*convergenceTime, func(at, _ *fleetNode) bool { return at != node })
+			t.Logf("%d nodes: missing for %v at most", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 		})
 	}
 }
 
-// A failure domain is cut off. Both sides count their own and not the other's, and
-// all again when the cut ends.
+// A failure domain is cut off. Each side counts its own nodes and not the other's, and all
+// nodes again after the cut ends.
 func TestFailureDomainIsCutOff(t *testing.T) {
 	t.Parallel()
 	const cut = 10 * time.Second
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 7)
+			is, f := is.New(t), settledFleet(n, 7)
 			apart := func(a, b *fleetNode) bool { return (a.domain == 0) != (b.domain == 0) }
 			f.cut = apart
 			g := f.watch(t, cut, func(at, of *fleetNode) bool { return !apart(at, of) })
@@ -221,31 +222,31 @@
 				}
 			})
 			is.Equal(over, 0)
-			t.Logf("%d nodes: left out on the own side for %v at most", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			t.Logf("%d nodes: missing on its own side for %v at most", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 			f.cut = func(_, _ *fleetNode) bool { return false }
-			g = f.watch(t, goneWithin+warmUp, everyPair)
-			t.Logf("%d nodes: left out for %v at most after the cut", n, g.longest)
-			is.True(g.longest <= goneWithin)
+			g = f.watch(t, convergenceTime+warmUp, everyPair)
+			t.Logf("%d nodes: missing for %v at most after the cut", n, g.longest)
+			is.True(g.longest <= convergenceTime)
 		})
 	}
 }
 
-// A node starts again under its address. A datagram of its earlier process that comes
-// late brings nothing back.
-func TestEarlierIncarnationStaysGone(t *testing.T) {
+// A node restarts with the same address. Late datagrams of its previous process must not change
+// any counts.
+func TestDatagramsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 8)
+			is, f := is.New(t), settledFleet(n, 8)
 			node := f.nodes[n/2]
-			own, sums, err := f.late(node)
+			own, sums, err := f.lateDatagrams(node)
 			is.NoErr(err)
 			node.alive = false
-			f.run(goneWithin)
+			f.run(convergenceTime)
 			f.boot(node)
-			f.run(goneWithin)
+			f.run(convergenceTime)
 			for _, at := range f.nodes {
 				if at == node {
 					continue
@@ -254,7 +255,8 @@
 				for _, body := range [][]byte{own, sums} {
 					a, err := at.Receive(body, f.now)
 					is.NoErr(err)
-					// Who never heard the new process itself doesn't count by its word.
+					// A node outside the sender's group that has not heard the new process
+					// directly may accept the header, but its counts come from the group's sum.
 					is.True(!a.News || !at.view.inOwnGroup(&peer{key: node.view.key}))
 				}
 				after, known := f.age(t, at, node)
@@ -265,8 +267,8 @@
 	}
 }
 
-// late returns a report and a sum as the node sends them now.
-func (f *fleet) late(n *fleetNode) (own, sum []byte, err error) {
+// lateDatagrams returns a report and a sum as the node would send them now.
+func (f *fleet) lateDatagrams(n *fleetNode) (own, sum []byte, err error) {
 	header := n.header(f.own(n))
 	if own, err = n.encode(ownReport, header, f.own(n), f.now); err != nil {
 		return nil, nil, err
@@ -275,18 +277,18 @@
 	return own, sum, err
 }
 
-// What one node knows of the store's revision is known everywhere in a second.
+// A confirmation of the store's revision by one node reaches all nodes within a second.
 func TestConfirmationReachesAll(t *testing.T) {
 	t.Parallel()
 	for _, n := range faultSizes() {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			is, f := is.New(t), settled(n, 9)
+			is, f := is.New(t), settledFleet(n, 9)
 			for range 10 {
 				f.run(time.Second)
 				at := f.now
 				f.nodes[f.rng.IntN(n)].confirmed = at
-				f.run(confirmedIn)
+				f.run(confirmationTime)
 				late := 0
 				for _, node := range f.nodes {
 					known := node.confirmed
--- a/heartbeat/fleet_requests_test.go
+++ b/heartbeat/fleet_requests_test.go
@@ -13,16 +13,15 @@
 )
 
 const (
-	// knownWithin is how soon each node must know a request that is quarantined, also
-	// after it was cut off or has begun.
+	// knownWithin is the time within which each node must have a quarantine, also after it was
+	// cut off or has started.
 	knownWithin = 3 * time.Second
-	// endingRun is how long a run lasts that ends its target.
+	// endingRun is the duration of a request that ends its target.
 	endingRun = 100 * time.Millisecond
 	settling  = 5 * time.Second
 )
 
-// requestFleet is a fleet whose nodes tell each other of requests under which targets
-// ended.
+// requestFleet is a fleet whose nodes exchange records of requests during which targets ended.
 type requestFleet struct {
 	*fleet
 	tables map[*fleetNode]*quarantine.Table
@@ -35,7 +34,7 @@
 		f.tables[node] = quarantine.NewTable(quarantine.DefaultConfig())
 	}
 	f.fill = func(n *fleetNode, r *Report) { r.Requests = f.tables[n].Tell(f.now) }
-	f.hear = func(n *fleetNode, r Report) { f.tables[n].Hear(r.Requests, f.now) }
+	f.onReceive = func(n *fleetNode, r Report) { f.tables[n].Hear(r.Requests, f.now) }
 	f.run(settling)
 	return f
 }
@@ -48,26 +47,27 @@
 
 var harmful = fingerprint(1)
 
-// strike has a node see a target end under a request, and announce it.
+// strike simulates that a target ends during a request from the node, and announces it.
 func (f *requestFleet) strike(n *fleetNode, request quarantine.Fingerprint) {
 	f.target++
 	f.tables[n].Ended(request, f.target, f.now.Add(-endingRun), f.now, f.now)
-	out, err := n.Brief(f.own(n), n.view.LiveAddresses(f.now, DefaultConfig().Announced), f.now)
+	out, err := n.Brief(f.own(n), n.view.LiveAddresses(f.now, DefaultConfig().AnnounceFanout), f.now)
 	if err != nil {
 		panic(err)
 	}
 	f.send(n, out)
 }
 
-// strikes has three nodes see a target end, one after the other.
-func (f *requestFleet) strikes() {
+// quarantineHarmful simulates that three nodes see a target end during the harmful request, one
+// after the other.
+func (f *requestFleet) quarantineHarmful() {
 	for i := range 3 {
 		f.run(time.Second)
 		f.strike(f.nodes[(i*len(f.nodes)/3+1)%len(f.nodes)], harmful)
 	}
 }
 
-// unaware returns how many live nodes don't know that the request is quarantined.
+// unaware returns the number of live nodes on which the harmful request is not quarantined.
 func (f *requestFleet) unaware() int {
 	n := 0
 	for _, node := range f.nodes {
@@ -78,35 +78,36 @@
 	return n
 }
 
-// knownAfter returns when all nodes know of the quarantine, from now on.
+// knownAfter runs the fleet until the harmful request is quarantined on all nodes and returns
+// the time it took.
 func (f *requestFleet) knownAfter(t *testing.T) time.Duration {
 	t.Helper()
-	begun := f.now
+	started := f.now
 	for f.unaware() > 0 {
-		if f.now.Sub(begun) > 10*knownWithin {
+		if f.now.Sub(started) > 10*knownWithin {
 			t.Fatalf("%d of %d nodes never learn of the quarantine", f.unaware(), len(f.nodes))
 		}
 		f.run(tick)
 	}
-	return f.now.Sub(begun)
+	return f.now.Sub(started)
 }
 
-// Copies of a request come to any nodes, so that each of three saw one target end. All
-// nodes have to know, whatever happens to some of them meanwhile.
+// Copies of a request arrive at different nodes, so that three of them see one target end each.
+// All nodes must get the quarantine, whatever fails meanwhile.
 func TestQuarantineIsKnownEverywhere(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
-		name    string
-		sizes   []int
-		loss    float64
-		before  func(f *requestFleet)
-		after   func(f *requestFleet)
-		aboutTo func(f *requestFleet) // ends what before began
+		name   string
+		sizes  []int
+		loss   float64
+		before func(f *requestFleet)
+		after  func(f *requestFleet)
+		undo   func(f *requestFleet) // reverts before
 	}{
-		{name: "calm", sizes: []int{7, 66, 295, 370}},
-		{name: "a tenth of the messages is lost", sizes: []int{7, 66, 370}, loss: 0.1},
+		{name: "no fault", sizes: []int{7, 66, 295, 370}},
+		{name: "a tenth of the messages are lost", sizes: []int{7, 66, 370}, loss: 0.1},
 		{
-			name: "a node begins", sizes: []int{7, 66}, after: func(f *requestFleet) {
+			name: "a node starts", sizes: []int{7, 66}, after: func(f *requestFleet) {
 				n := f.nodes[len(f.nodes)-1]
 				f.tables[n] = quarantine.NewTable(quarantine.DefaultConfig())
 				f.boot(n)
@@ -114,18 +115,18 @@
 		},
 		{
 			name: "a node was frozen", sizes: []int{7, 66},
-			before:  func(f *requestFleet) { f.nodes[0].frozen = true },
-			aboutTo: func(f *requestFleet) { f.nodes[0].frozen = false },
+			before: func(f *requestFleet) { f.nodes[0].frozen = true },
+			undo:   func(f *requestFleet) { f.nodes[0].frozen = false },
 		},
 		{
 			name: "a failure domain was cut off", sizes: []int{7, 66, 295},
 			before: func(f *requestFleet) {
 				f.cut = func(a, b *fleetNode) bool { return (a.domain == 0) != (b.domain == 0) }
 			},
-			aboutTo: func(f *requestFleet) { f.cut = func(_, _ *fleetNode) bool { return false } },
+			undo: func(f *requestFleet) { f.cut = func(_, _ *fleetNode) bool { return false } },
 		},
 		{
-			name: "half of the nodes end", sizes: []int{7, 66, 295}, after: func(f *requestFleet) {
+			name: "half of the nodes die", sizes: []int{7, 66, 295}, after: func(f *requestFleet) {
 				for i, n := range f.nodes {
 					n.alive = i%2 == 0
 				}
@@ -140,24 +141,24 @@
 				if tt.before != nil {
 					tt.before(f)
 				}
-				f.strikes()
-				if tt.aboutTo != nil {
+				f.quarantineHarmful()
+				if tt.undo != nil {
 					f.run(settling)
-					tt.aboutTo(f)
+					tt.undo(f)
 				}
 				if tt.after != nil {
 					tt.after(f)
 				}
 				took := f.knownAfter(t)
-				t.Logf("%d nodes: known everywhere after %v", size, took)
+				t.Logf("%d nodes: known to all nodes after %v", size, took)
 				is.New(t).True(took <= knownWithin)
 			})
 		}
 	}
 }
 
-// A failure domain that loses 800 targets leaves 13,000 suspects in a second. The harmful
-// request among them is known everywhere as soon as ever.
+// A failure domain that loses 800 targets causes 13,000 suspect requests in a second. A harmful
+// request among them must reach all nodes as quickly as at other times.
 func TestHarmfulRequestAmongManySuspects(t *testing.T) {
 	t.Parallel()
 	const suspects = 13_000
@@ -171,30 +172,30 @@
 		f.tables[n].Ended(fingerprint(i+10), f.target, f.now.Add(-endingRun), f.now, f.now)
 	}
 	f.reset()
-	f.strikes()
+	f.quarantineHarmful()
 	took := f.knownAfter(t)
 	perNode := 0
 	for _, bytes := range f.bytes {
 		perNode += bytes / len(f.nodes)
 	}
-	t.Logf("known everywhere after %v; %d bytes at the average node in about 3 s", took, perNode)
+	t.Logf("known to all nodes after %v; %d bytes at the average node in about 3 s", took, perNode)
 	is.New(t).True(took <= knownWithin)
 }
 
-// What is told of requests adds no byte to a message while there is nothing to tell.
-func TestNothingIsToldOnACalmDay(t *testing.T) {
+// Without quarantine records a message is not a byte longer.
+func TestMessageWithoutRequestsIsNotLonger(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	report := Report{Node: nodeName(0), Targets: []TargetReport{{Target: 1, Running: 2}}}
 	bare, err := cbor.Marshal(report)
 	is.NoErr(err)
-	told, err := marshal(report, quarantine.NewTable(quarantine.DefaultConfig()).Tell(start))
+	withRequests, err := marshal(report, quarantine.NewTable(quarantine.DefaultConfig()).Tell(start))
 	is.NoErr(err)
-	is.Equal(told, bare)
+	is.Equal(withRequests, bare)
 }
 
-// Each kind of message brings what is told of requests.
-func TestMessagesBringRequests(t *testing.T) {
+// Each kind of message carries quarantine records.
+func TestMessagesCarryRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	tab := quarantine.NewTable(quarantine.DefaultConfig())
@@ -218,8 +219,8 @@
 	is.Equal(a.Report.Requests, own.Requests)
 }
 
-// A message whose end can't be read is not taken.
-func TestGarbledRequestsAreNotTaken(t *testing.T) {
+// A message with malformed quarantine records is rejected.
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	from := NewMachine(DefaultConfig(), nodeName(0), 1, nil)
--- a/heartbeat/fleet_test.go
+++ b/heartbeat/fleet_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// fleet is nodes that exchange datagrams on virtual time. Each node runs at a target
-// of its own what shows when it said so, see runningAt, so that any other node's view
-// tells how old its word is, and whether it was counted twice.
+// fleet simulates nodes that exchange datagrams on virtual time. Each node reports a load on a
+// target of its own that encodes the time of the report (see runningAt), so that the view of
+// any other node shows how old the report is, and whether it was counted twice.
 type fleet struct {
-	rng   *rand.Rand
-	now   time.Time
-	nodes []*fleetNode
-	by    map[string]*fleetNode
-	due   events
-	// loss is the part of the datagrams that is lost, and cut says which links are.
+	rng    *rand.Rand
+	now    time.Time
+	nodes  []*fleetNode
+	byName map[string]*fleetNode
+	due    events
+	// loss is the fraction of datagrams that are lost; cut reports whether a link is down.
 	loss float64
 	cut  func(from, to *fleetNode) bool
-	// fill adds what a node runs to its report, besides its own target.
+	// fill completes a node's report, which contains only its own target.
 	fill func(n *fleetNode, r *Report)
-	// hear takes what a node received.
-	hear func(n *fleetNode, r Report)
-	// messages and bytes count what each node received since the last reset.
+	// onReceive is called for each new message that a node receives.
+	onReceive func(n *fleetNode, r Report)
+	// messages and bytes count what each node has received since the last reset.
 	messages, bytes map[*fleetNode]int
 }
 
@@ -34,39 +34,39 @@
 	index  int
 	domain int
 	seeds  []string
-	// alive nodes take part, frozen ones keep what arrives for later.
+	// Nodes that are alive take part; frozen ones queue the messages that arrive.
 	alive, frozen bool
 	queue         [][]byte
-	// revision and confirmed are its copy of the store.
+	// revision and confirmed describe the node's copy of the store.
 	revision  int64
 	confirmed time.Time
-	// run separates the steps of this process from those of an earlier one.
+	// run distinguishes the steps of this process from those of an earlier one.
 	run int
 }
 
 const (
-	// tick is the unit in which a node's own target tells the time.
+	// tick is the time unit of the load on a node's own target.
 	tick = 10 * time.Millisecond
-	// between is the time between nodes, one way.
-	between = 1400 * time.Microsecond
-	domains = 6
-	// fleetSeeds is the number of nodes that the others know when they start.
+	// oneWayDelay is the network delay between two nodes.
+	oneWayDelay = 1400 * time.Microsecond
+	domains     = 6
+	// fleetSeeds is the number of nodes that all nodes use as seeds.
 	fleetSeeds = 3
 	// startSpread is the time within which all nodes start.
 	startSpread = 300 * time.Millisecond
 )
 
-// runningAt is how many requests a node runs at its own target.
+// runningAt returns the number of requests that a node reports for its own target.
 func runningAt(now time.Time) int { return int(now.Sub(start) / tick) }
 
 func nodeName(i int) string { return fmt.Sprintf("10.%d.%d.%d:7340", i%domains, i/250, i%250+1) }
 
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(seed, 1)), now: start, by: make(map[string]*fleetNode),
+		rng: rand.New(rand.NewPCG(seed, 1)), now: start, byName: make(map[string]*fleetNode),
 		cut: func(_, _ *fleetNode) bool { return false }, fill: func(*fleetNode, *Report) {},
-		hear:     func(*fleetNode, Report) {},
-		messages: make(map[*fleetNode]int), bytes: make(map[*fleetNode]int),
+		onReceive: func(*fleetNode, Report) {},
+		messages:  make(map[*fleetNode]int), bytes: make(map[*fleetNode]int),
 	}
 	for i := range n {
 		node := &fleetNode{index: i, domain: i % domains}
@@ -74,13 +74,13 @@
 			node.seeds = append(node.seeds, nodeName(s))
 		}
 		f.nodes = append(f.nodes, node)
-		f.by[nodeName(i)] = node
+		f.byName[nodeName(i)] = node
 		f.boot(node)
 	}
 	return f
 }
 
-// boot starts a node's process.
+// boot starts a new process of a node.
 func (f *fleet) boot(n *fleetNode) {
 	n.run++
 	n.Machine = NewMachine(DefaultConfig(), nodeName(n.index), int64(n.run), rand.New(rand.NewPCG(f.rng.Uint64(), 1)))
@@ -109,7 +109,7 @@
 
 func (f *fleet) at(t time.Time, do func()) { heap.Push(&f.due, event{t, do}) }
 
-// run plays until d has passed.
+// run simulates the fleet for d.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.due) > 0 && !f.due[0].at.After(end) {
@@ -120,7 +120,7 @@
 	f.now = end
 }
 
-// own is what a node says of itself.
+// own returns a node's report about itself.
 func (f *fleet) own(n *fleetNode) Report {
 	r := Report{Revision: n.revision, ConfirmedAge: -1}
 	known := n.confirmed
@@ -143,7 +143,7 @@
 		f.at(f.now.Add(tick), func() { f.step(n, run) })
 		return
 	}
-	f.takeQueue(n)
+	f.drainQueue(n)
 	out, next, err := n.Step(f.own(n), n.seeds, f.now)
 	if err != nil {
 		panic(err)
@@ -154,11 +154,11 @@
 
 func (f *fleet) send(from *fleetNode, out []Datagram) {
 	for _, d := range out {
-		to := f.by[d.To]
+		to := f.byName[d.To]
 		if to == nil || f.rng.Float64() < f.loss || f.cut(from, to) {
 			continue
 		}
-		f.at(f.now.Add(between), func() { f.deliver(to, d.Body) })
+		f.at(f.now.Add(oneWayDelay), func() { f.deliver(to, d.Body) })
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-func (f *fleet) takeQueue(n *fleetNode) {
+func (f *fleet) drainQueue(n *fleetNode) {
 	queue := n.queue
 	n.queue = nil
 	for _, body := range queue {
@@ -188,9 +188,9 @@
 		panic(err)
 	}
 	if a.News {
-		f.hear(n, a.Report)
+		f.onReceive(n, a.Report)
 	}
-	if a.News && a.Stranger {
+	if a.News && a.NewPeer {
 		out, err := n.Brief(f.own(n), []string{a.Report.Node}, f.now)
 		if err != nil {
 			panic(err)
@@ -199,40 +199,40 @@
 	}
 }
 
-// packetHeader is the size of the headers of IPv4 and UDP, in bytes.
+// packetHeader is the size of the IPv4 and UDP headers in bytes.
 const packetHeader = 28
 
-// age returns how old the word of node of is at node at; known is false if its
-// counts are left out there. It fails the test if they were counted twice.
+// age returns the age of the counts of node of at node at; known is false if there are none. It
+// fails the test if they are counted twice.
 func (f *fleet) age(t *testing.T, at, of *fleetNode) (age time.Duration, known bool) {
 	t.Helper()
-	said := at.view.Target(uint64(of.index)).Running
-	if said > runningAt(f.now) {
+	reported := at.view.Target(uint64(of.index)).Running
+	if reported > runningAt(f.now) {
 		t.Fatalf("node %d is counted twice at node %d", of.index, at.index)
 	}
-	return f.now.Sub(start.Add(time.Duration(said) * tick)), said > 0
+	return f.now.Sub(start.Add(time.Duration(reported) * tick)), reported > 0
 }
 
-// sample calls look for random pairs of live nodes at random times within d.
-func (f *fleet) sample(d time.Duration, look func(at, of *fleetNode)) {
+// sample calls visit for random pairs of live nodes at random times within d.
+func (f *fleet) sample(d time.Duration, visit func(at, of *fleetNode)) {
 	const rounds, pairs = 100, 100
 	for range rounds {
 		f.run(d / rounds)
 		for range pairs {
 			at, of := f.nodes[f.rng.IntN(len(f.nodes))], f.nodes[f.rng.IntN(len(f.nodes))]
 			if at != of && at.alive && of.alive && !at.frozen && !of.frozen {
-				look(at, of)
+				visit(at, of)
 			}
 		}
 	}
 }
 
-// all calls look for all pairs of live nodes.
-func (f *fleet) all(look func(at, of *fleetNode)) {
+// all calls visit for all pairs whose first node is alive and not frozen.
+func (f *fleet) all(visit func(at, of *fleetNode)) {
 	for _, at := range f.nodes {
 		for _, of := range f.nodes {
 			if at != of && at.alive && !at.frozen {
-				look(at, of)
+				visit(at, of)
 			}
 		}
 	}
--- a/heartbeat/known_test.go
+++ b/heartbeat/known_test.go
@@ -10,17 +10,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// A node that has just begun, or was cut off from the others, takes no larger part of a
-// bound that all share than the whole fleet leaves it.
+// A node that has just started, or has lost contact with the others, still divides a fleet-wide
+// limit by the size of the whole fleet.
 func TestKnownNodes(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	e := NewExchange(DefaultConfig(), "10.0.0.1:1", nil, log.New(io.Discard), prometheus.NewRegistry())
 	e.now = func() time.Time { return now }
-	e.began = now
-	is.Equal(e.Known(), assumedFleet)
+	e.started = now
+	is.Equal(e.Known(), assumedFleetSize)
 
-	now = now.Add(acquaint)
+	now = now.Add(discoveryTime)
 	for _, other := range []string{"10.0.0.2:1", "10.0.0.3:1"} {
 		e.machine.view.Receive(Report{Node: other, Sequence: 1}, now)
 	}
--- a/heartbeat/machine.go
+++ b/heartbeat/machine.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// nodesEvery is the number of steps between two reports that name other nodes,
-	// and maxNodes the number of names in one, 16 bytes each.
-	nodesEvery = 20
-	maxNodes   = 60
-	// membersEvery is the number of sums to a subscriber of which one names the
+	// nodeNamesEvery is the number of steps between two reports that list other nodes, and
+	// maxNodeNames the maximum number of addresses in one, 16 bytes each.
+	nodeNamesEvery = 20
+	maxNodeNames   = 60
+	// membersEvery is the interval, in sums sent to a subscriber, at which a sum lists the
 	// group's live nodes, 10 bytes each.
 	membersEvery = 2
-	// claimHolds is how long another node's word on the number of groups holds:
-	// longer than any two nodes that both know of each other are silent.
-	claimHolds = 3 * time.Second
+	// proposalTTL is how long another node's proposal for the number of groups is valid. It is
+	// longer than the longest silence between two nodes that have each other's address.
+	proposalTTL = 3 * time.Second
 )
 
-// firstReports is the number of reports of a new node that all name others: it
-// has heard of some that its seeds have not.
+// firstReports is the number of reports after a node's start that all list other nodes, since
+// the node has heard from nodes that its seeds have not.
 const firstReports = 5
 
 // Datagram is a message to a node.
@@ -32,18 +32,20 @@
 	Body []byte
 }
 
-// Arrival is what a datagram brought.
-type Arrival struct {
-	// Report is the sender's, with the uses of its group if that's what came.
+// Received is the content of a datagram.
+type Received struct {
+	// Report is the sender's report. Its Uses are those of the whole group if the datagram was
+	// a sum.
 	Report Report
-	// News says that nothing newer was known of the sender.
+	// News reports whether the datagram was newer than the last one from the sender.
 	News bool
-	// Stranger says that the sender is new here and may know few other nodes.
-	Stranger bool
+	// NewPeer reports whether the sender was not live before, so that it may have few
+	// addresses.
+	NewPeer bool
 }
 
-// Machine is a node's part of the exchange, without clock and sockets. One goroutine
-// at a time may use it.
+// Machine is the exchange's state machine for one node, without clock and sockets. It is not
+// safe for concurrent use.
 type Machine struct {
 	cfg    Config
 	self   string
@@ -55,35 +57,36 @@
 	incarnation int64
 	sequence    uint64
 	steps       int
-	// served says when the recipients got their last messages, turn is the number of
-	// the last.
-	served map[string]serving
-	turn   int
-	// wanted is the number of groups that this node finds right; claimed is the
-	// largest that others found right, the last at claimedAt.
-	wanted, claimed int
-	claimedAt       time.Time
-	// onRelay is told of each change of a relay, if set.
-	onRelay func(asked)
+	// lastSent holds the last message to each recipient, sendSeq is the sequence number of the
+	// newest one.
+	lastSent map[string]sendRecord
+	sendSeq  int
+	// wanted is the number of groups that suits the fleet as this node sees it. proposed is the
+	// largest number that other nodes want, last received at proposedAt.
+	wanted, proposed int
+	proposedAt       time.Time
+	// onRelayChange is called for each relay request, if set.
+	onRelayChange func(relayRequest)
 }
 
-// NewMachine returns the part of the node self, an ip:port, whose process is told from
-// earlier ones by its incarnation.
+// NewMachine returns a machine for the node self, an ip:port. The incarnation distinguishes its
+// process from earlier ones.
 func NewMachine(cfg Config, self string, incarnation int64, rng *rand.Rand) *Machine {
 	return &Machine{
 		cfg: cfg, self: self, incarnation: incarnation, view: NewView(cfg, self), wanted: 1,
 		subs:   subscriptions{cfg: cfg, rng: rng, all: make(map[int]*subscription)},
-		leases: make(leases), uses: make(groupUses), served: make(map[string]serving),
+		leases: make(leases), uses: make(groupUses), lastSent: make(map[string]sendRecord),
 	}
 }
 
-// Target returns what the other nodes say of the target's run with the given hash.
+// Target returns the sum of the other nodes' reports about the target incarnation with the
+// given hash.
 func (m *Machine) Target(hash uint64) Sum { return m.view.Target(hash) }
 
 // Know adds addresses at which nodes may be.
 func (m *Machine) Know(now time.Time, nodes ...string) { m.view.Know(now, nodes...) }
 
-// header returns the node's brief report of itself, with the next sequence number.
+// header returns the node's brief report with the next sequence number.
 func (m *Machine) header(own Report) Report {
 	m.sequence++
 	own.Node, own.Incarnation, own.Sequence = m.self, m.incarnation, m.sequence
@@ -91,9 +94,9 @@
 	return own
 }
 
-// Step returns what is due and the time until the next step. own is the node's
-// report of itself. Messages go out in batches spread over the interval: a burst to
-// all would overflow the link of a small VM, and what overflows is lost.
+// Step returns the messages that are due and the time until the next step. own is the node's
+// current report. Messages are sent in batches spread over the interval, since a burst to all
+// nodes would overflow the link of a small VM and the excess would be lost.
 func (m *Machine) Step(own Report, seeds []string, now time.Time) ([]Datagram, time.Duration, error) {
 	m.view.Know(now, seeds...)
 	m.view.Expire(now)
@@ -102,41 +105,42 @@
 	m.uses.expire(m.view.interval(), now)
 	m.steps++
 	if m.view.groups > 1 {
-		own.Targets = append(slices.Clone(own.Targets), heardReport(m.view.counted(now)))
+		own.Targets = append(slices.Clone(own.Targets), nodesHeardReport(m.view.countedNodes(now)))
 	}
 	recipients := m.recipients(seeds, now)
-	batch, rest := m.nextBatch(recipients, now)
+	batch, remaining := m.nextBatch(recipients, now)
 	out, err := m.messages(own, batch, now)
 	if err != nil {
 		return nil, m.cfg.Interval, err
 	}
 	subs, err := m.subscribe(own, now)
-	return append(out, subs...), m.pace(len(batch), len(batch)+rest), err
+	return append(out, subs...), m.pace(len(batch), len(batch)+remaining), err
 }
 
-// regroup follows the number of groups that the fleet needs. The nodes go by the
-// largest that one of them finds right, so that they agree soon.
+// regroup adjusts the number of groups to the fleet's size. All nodes use the largest number
+// that any of them wants, so that they agree soon.
 func (m *Machine) regroup(now time.Time) {
 	m.wanted = nextGroups(m.view.size(), m.wanted)
-	if now.Sub(m.claimedAt) > claimHolds {
-		m.claimed = 0
+	if now.Sub(m.proposedAt) > proposalTTL {
+		m.proposed = 0
 	}
-	if groups := max(m.wanted, m.claimed); groups != m.view.groups {
+	if groups := max(m.wanted, m.proposed); groups != m.view.groups {
 		m.view.Regroup(groups)
 		clear(m.subs.all)
-		clear(m.leases) // of nodes that may be in the own group now
+		clear(m.leases) // the subscribers may be in this node's group now
 	}
 }
 
-// claim takes the number of groups that another node finds right, a power of two.
-func (m *Machine) claim(groups int, now time.Time) {
+// receiveProposal records the number of groups that another node wants, which must be a power
+// of two.
+func (m *Machine) receiveProposal(groups int, now time.Time) {
 	valid := groups > 0 && groups <= maxGroups && groups&(groups-1) == 0
-	if valid && groups >= m.claimed {
-		m.claimed, m.claimedAt = groups, now
+	if valid && groups >= m.proposed {
+		m.proposed, m.proposedAt = groups, now
 	}
 }
 
-// maxGroups is right for a fleet of more than 10,000 nodes; more is a fault.
+// maxGroups is enough for a fleet of more than 10,000 nodes; a larger number is invalid.
 const maxGroups = 128
 
 func (m *Machine) encode(c content, header, own Report, now time.Time) ([]byte, error) {
@@ -145,20 +149,20 @@
 	}
 	r := header
 	r.Brief, r.Targets, r.Uses = false, own.Targets, own.Uses
-	if m.steps%nodesEvery == 1 || m.steps < firstReports {
-		r.Nodes = m.view.LiveAddresses(now, maxNodes)
+	if m.steps%nodeNamesEvery == 1 || m.steps < firstReports {
+		r.Nodes = m.view.LiveAddresses(now, maxNodeNames)
 	}
 	return marshal(r, own.Requests)
 }
 
-// groupSum adds up this node's group.
+// groupSum returns the sum of this node's group.
 func (m *Machine) groupSum(withMembers bool, header, own Report, now time.Time) GroupSum {
-	total := maps.Clone(m.view.own)
+	total := maps.Clone(m.view.ownGroup)
 	total.addReports(own.Targets, 1)
 	header.Uses = m.uses.with(own.Uses)
 	s := GroupSum{
 		From: header, Groups: m.view.groups, Wanted: m.wanted, Group: m.view.group,
-		Nodes: m.view.counted(now) + 1, Counts: total.pack(),
+		Nodes: m.view.countedNodes(now) + 1, Counts: total.pack(),
 	}
 	if withMembers {
 		s.Members = append(m.view.members(now), Member{Address: packAddress(m.self), Last: own.Leaving || own.StoreLost})
@@ -166,7 +170,7 @@
 	return s
 }
 
-// subscribe asks relays for the sums of other groups, where a lease ends or a relay
+// subscribe requests the sums of other groups from their relays where a lease ends or a relay
 // is silent.
 func (m *Machine) subscribe(own Report, now time.Time) ([]Datagram, error) {
 	due := m.subs.renew(m.view, now)
@@ -182,19 +186,19 @@
 		for _, relay := range a.relays {
 			out = append(out, Datagram{To: relay, Body: body})
 		}
-		if m.onRelay != nil {
-			m.onRelay(a)
+		if m.onRelayChange != nil {
+			m.onRelayChange(a)
 		}
 	}
 	return out, nil
 }
 
-// Brief returns a report without targets for some nodes. It names other nodes if it
-// is for one.
+// Brief returns a report without targets for some nodes. If there is only one recipient, the
+// report lists other nodes.
 func (m *Machine) Brief(own Report, to []string, now time.Time) ([]Datagram, error) {
 	r := m.header(own)
 	if len(to) == 1 {
-		r.Nodes = m.view.LiveAddresses(now, maxNodes)
+		r.Nodes = m.view.LiveAddresses(now, maxNodeNames)
 	}
 	raw, err := marshal(r, own.Requests)
 	if err != nil {
@@ -207,10 +211,10 @@
 	return out, nil
 }
 
-// Receive takes a datagram.
-func (m *Machine) Receive(body []byte, now time.Time) (Arrival, error) {
+// Receive processes a datagram.
+func (m *Machine) Receive(body []byte, now time.Time) (Received, error) {
 	if len(body) == 0 {
-		return Arrival{}, errEmpty
+		return Received{}, errEmpty
 	}
 	switch kind(body[0]) {
 	case kindSum:
@@ -221,9 +225,9 @@
 	var r Report
 	requests, err := unmarshal(body, &r)
 	if err != nil {
-		return Arrival{}, errors.Wrap(err, "heartbeat: report")
+		return Received{}, errors.Wrap(err, "heartbeat: decode report")
 	}
-	a := Arrival{Report: r, Stranger: !m.view.isLive(r.Node, now)}
+	a := Received{Report: r, NewPeer: !m.view.isLive(r.Node, now)}
 	a.Report.Requests = requests
 	a.News = m.view.Receive(r, now)
 	if a.News && m.view.inOwnGroup(m.view.peers[r.Node]) {
@@ -234,42 +238,42 @@
 
 var errEmpty = errors.New("heartbeat: empty datagram")
 
-func (m *Machine) receiveSum(body []byte, now time.Time) (Arrival, error) {
+func (m *Machine) receiveSum(body []byte, now time.Time) (Received, error) {
 	var s GroupSum
 	requests, err := unmarshal(body, &s)
 	if err != nil {
-		return Arrival{}, errors.Wrap(err, "heartbeat: sum of a group")
+		return Received{}, errors.Wrap(err, "heartbeat: decode group sum")
 	}
 	counts, err := unpack(s.Counts)
 	if err != nil {
-		return Arrival{}, err
+		return Received{}, err
 	}
 	s.From.Brief = true
 	if !m.view.Receive(s.From, now) {
-		return Arrival{Report: s.From}, nil
+		return Received{Report: s.From}, nil
 	}
-	m.claim(s.Wanted, now)
-	m.view.name(s.Members, now)
-	// A relay that goes by another number of groups has another group's sum.
+	m.receiveProposal(s.Wanted, now)
+	m.view.receiveMembers(s.Members, now)
+	// A relay with another number of groups sends the sum of a different set of nodes.
 	if s.Groups == m.view.groups && m.subs.deliver(s.From.Node, s.Group, lacksNode(s.Nodes, counts), now) {
 		m.view.receiveSum(s.Group, counts, now)
 	}
 	s.From.Requests = requests
-	return Arrival{Report: s.From, News: true}, nil
+	return Received{Report: s.From, News: true}, nil
 }
 
-func (m *Machine) receiveSubscription(body []byte, now time.Time) (Arrival, error) {
+func (m *Machine) receiveSubscription(body []byte, now time.Time) (Received, error) {
 	var s Subscription
 	requests, err := unmarshal(body, &s)
 	if err != nil {
-		return Arrival{}, errors.Wrap(err, "heartbeat: subscription")
+		return Received{}, errors.Wrap(err, "heartbeat: decode subscription")
 	}
 	s.From.Brief = true
 	if !m.view.Receive(s.From, now) {
-		return Arrival{Report: s.From}, nil
+		return Received{Report: s.From}, nil
 	}
-	m.claim(s.Wanted, now)
+	m.receiveProposal(s.Wanted, now)
 	m.leases.add(s.From.Node, now.Add(m.cfg.Lease))
 	s.From.Requests = requests
-	return Arrival{Report: s.From, News: true}, nil
+	return Received{Report: s.From, News: true}, nil
 }
--- a/heartbeat/relay_test.go
+++ b/heartbeat/relay_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// subscriber is a node of the first of two groups with relays of the second.
+// subscriber returns a node of one of two groups that has four relays of the other in its view.
 func subscriber(t *testing.T) (*Machine, []string) {
 	t.Helper()
 	m := NewMachine(DefaultConfig(), "10.0.0.1:1", 1, rand.New(rand.NewPCG(1, 1)))
@@ -25,14 +25,14 @@
 	return m, relays
 }
 
-// A relay's lease is renewed some times, then the next relay takes over; all are asked
-// equally often.
+// A relay's lease is renewed maxRenewals times, then the next relay takes over. All relays are
+// asked equally often.
 func TestRelayRotates(t *testing.T) {
 	is := is.New(t)
 	m, relays := subscriber(t)
 	asked := make(map[string]int)
 	now := start
-	const leases = mostRenewals + 1
+	const leases = maxRenewals + 1
 	for i := range 8 * leases {
 		due := m.subs.renew(m.view, now)
 		is.Equal(len(due), 1)
@@ -53,13 +53,13 @@
 	}
 }
 
-func TestSilentRelaysAreLeft(t *testing.T) {
+func TestSilentRelaysAreReplaced(t *testing.T) {
 	is := is.New(t)
 	m, _ := subscriber(t)
 	now := start
 	first := m.subs.renew(m.view, now)[0]
 	is.Equal(first.reason, relayFirst)
-	// Nothing comes at all: soon more are asked at a time.
+	// No relay answers, so more are asked each time, up to all of them.
 	for _, want := range []int{2, 4, 4, 4} {
 		now = now.Add(DefaultConfig().Interval)
 		due := m.subs.renew(m.view, now)[0]
@@ -69,22 +69,22 @@
 	sub := m.subs.all[first.group]
 	relay := sub.relays[1]
 	is.True(m.subs.deliver(relay, first.group, false, now))
-	is.Equal(sub.relays, []string{relay}) // the first that answers
-	// One that has delivered has more time.
+	is.Equal(sub.relays, []string{relay}) // the first one that answered
+	// A relay that has delivered is given more time than a new one.
 	now = now.Add(DefaultConfig().Interval)
 	is.Equal(len(m.subs.renew(m.view, now)), 0)
 	now = now.Add(2 * DefaultConfig().Interval)
 	is.Equal(m.subs.renew(m.view, now)[0].reason, relaySilent)
 }
 
-// A sum of an earlier relay is taken only until the next one delivers.
-func TestLateSumIsLeft(t *testing.T) {
+// A sum of the previous relay is accepted only until the next relay delivers.
+func TestSumOfPreviousRelayIsRejected(t *testing.T) {
 	is := is.New(t)
 	m, _ := subscriber(t)
 	a := m.subs.renew(m.view, start)[0]
 	is.True(m.subs.deliver(a.relays[0], a.group, false, start))
 	later := start.Add(DefaultConfig().Lease)
-	m.subs.all[a.group].renewals = mostRenewals
+	m.subs.all[a.group].renewals = maxRenewals
 	is.True(m.subs.deliver(a.relays[0], a.group, false, later))
 	b := m.subs.renew(m.view, later)[0]
 	is.Equal(b.reason, relayRotated)
@@ -95,9 +95,9 @@
 	is.True(!m.subs.deliver(b.relays[0], m.view.group, false, later))
 }
 
-// A relay whose sum lacks a node, the first or a later one, is left for the next until
-// one lacks none.
-func TestRelayThatCannotHearANodeIsLeft(t *testing.T) {
+// A relay whose sum lacks a node, whether its first sum or a later one, is replaced until one
+// is found whose sum lacks none.
+func TestRelayWhoseSumLacksANodeIsReplaced(t *testing.T) {
 	is := is.New(t)
 	m, relays := subscriber(t)
 	a := m.subs.renew(m.view, start)[0]
@@ -107,7 +107,7 @@
 	asked := a.relays[0]
 	for range len(relays) - 1 {
 		next := m.subs.renew(m.view, start)[0]
-		is.Equal(next.reason, relayLacks)
+		is.Equal(next.reason, relayLacksNode)
 		is.Equal(len(next.relays), 1)
 		is.True(next.relays[0] != asked)
 		asked = next.relays[0]
@@ -118,19 +118,19 @@
 	is.Equal(len(m.subs.renew(m.view, start)), 0)
 }
 
-// Nodes that hear more others than the sum has tell that it lacks one.
+// A sum lacks a node if its nodes get reports from more nodes than it contains.
 func TestSumThatLacksANode(t *testing.T) {
 	for _, tt := range []struct {
 		nodes, heard int
 		lacks        bool
 	}{{3, 6, false}, {3, 7, true}, {1, 0, false}, {1, 1, true}, {22, 22*21 + 1, true}, {22, 22 * 21, false}} {
 		counts := sums{}
-		counts.addReports([]TargetReport{heardReport(tt.heard), {Target: 7, Running: 900}}, 1)
+		counts.addReports([]TargetReport{nodesHeardReport(tt.heard), {Target: 7, Running: 900}}, 1)
 		unpacked, err := unpack(counts.pack())
 		is := is.New(t)
 		is.NoErr(err)
 		is.Equal(lacksNode(tt.nodes, unpacked), tt.lacks)
-		is.True(!lacksNode(tt.nodes, nil)) // of a release that doesn't tell
+		is.True(!lacksNode(tt.nodes, nil)) // sum of a release that doesn't report the number
 	}
 }
 
--- a/heartbeat/report.go
+++ b/heartbeat/report.go
@@ -6,54 +6,55 @@
 	"github.com/knapweedgw/knapweedgw/quarantine"
 )
 
-// Report is what a node says of itself. Later reports replace earlier ones.
+// Report is a node's report about itself. A later report replaces an earlier one.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
-	// Node is the ip:port on which the node takes reports.
+	// Node is the ip:port at which the node receives datagrams.
 	Node string
-	// Incarnation is when the node's process began, in Unix nanoseconds. It
-	// only separates incarnations; a clock that jumped does no harm.
+	// Incarnation is the start time of the node's process in Unix nanoseconds. It only
+	// distinguishes incarnations, so a clock that jumps does no harm.
 	Incarnation int64
 	Sequence    uint64
 	Leaving     bool
-	// Brief reports tell of versions only; what the last one said of targets
-	// stays.
+	// Brief marks a report of versions only; the targets of the previous report remain in
+	// force.
 	Brief bool
-	// StoreLost says that the node can't reach the platform's store.
+	// StoreLost reports whether the node can't reach the platform's store.
 	StoreLost bool
-	// Catalog is the version of the configuration in force there.
+	// Catalog is the version of the configuration in force on the node.
 	Catalog int64
-	// Revision is the store's revision up to which the node knows the targets.
+	// Revision is the store's revision of the node's list of targets.
 	Revision int64
-	// ConfirmedAge is how many milliseconds ago the node knew that Revision is
-	// the store's newest, negative for never.
+	// ConfirmedAge is the time in milliseconds since the node confirmed that Revision is the
+	// store's newest, negative if it never has.
 	ConfirmedAge int64
 	Targets      []TargetReport
-	// Uses are the prompt parts that the node sent to targets since its last
-	// report and that the others may not know of. In the header of a GroupSum
-	// they are those of the whole group.
+	// Uses are the prompt parts that the node sent to targets since its last report and that
+	// the other nodes may not have yet. In the header of a GroupSum they are those of the whole
+	// group.
 	Uses []affinity.Use
-	// Nodes are the nodes that the sender heard lately, in some reports only.
+	// Nodes are addresses of nodes that the sender heard from lately. Only some reports list
+	// them.
 	Nodes []string
-	// Requests are those under which targets ended, as far as they are to be told. They
-	// follow the message, if there are any.
+	// Requests are records of requests during which targets ended. They are encoded after the
+	// message, and only if there are any.
 	Requests []quarantine.Record `cbor:"-"`
 }
 
-// TargetReport is what a node runs at a target and saw of it. Targets without
-// anything to tell are left out.
+// TargetReport is a node's load on a target and its observations of it. Targets without any are
+// omitted.
 type TargetReport struct {
 	_ struct{} `cbor:",toarray"`
-	// Target is the lower half of the hash of the target's run, or of a hash of a
-	// service for the sums of its targets.
+	// Target is the lower half of the hash of the target's incarnation, or of a hash of a
+	// service for the sums over its targets.
 	Target  uint32
 	Running uint16
-	// Answered and Failed are the outcomes within the health window.
+	// Answered and Failed count the outcomes within the health window.
 	Answered, Failed uint16
 	Unreachable      bool
 }
 
-// sum returns the report of one node as a sum over nodes.
+// sum converts the report of one node to a Sum.
 func (t TargetReport) sum() Sum {
 	s := Sum{Running: int(t.Running), Counts: health.Counts{Answered: int(t.Answered), Failed: int(t.Failed)}}
 	if t.Unreachable {
@@ -62,17 +63,17 @@
 	return s
 }
 
-// Sum is what several nodes together say of a target.
+// Sum is the sum of several nodes' reports about a target.
 type Sum struct {
 	Running     int
 	Counts      health.Counts
 	Unreachable int // number of nodes that can't connect to it
 }
 
-// sums adds up by target. Targets of which nothing is left to tell are removed.
+// sums holds sums by target. Entries that become zero are removed.
 type sums map[uint32]Sum
 
-// add adds sign times s.
+// add adds s if sign is 1 and subtracts it if sign is -1.
 func (m sums) add(target uint32, s Sum, sign int) {
 	t := m[target]
 	t.Running += sign * s.Running
--- a/heartbeat/requests.go
+++ b/heartbeat/requests.go
@@ -7,20 +7,20 @@
 	"github.com/knapweedgw/knapweedgw/quarantine"
 )
 
-// What is told of requests under which targets ended follows a message as a CBOR item of
-// its own: on all but a few days there is none, and messages are as long as without it.
+// Quarantine records are appended to a message as a separate CBOR item, and only if there are
+// any. Most of the time there are none, and messages are no longer than without this feature.
 
-// marshal returns a message with what is told of requests.
+// marshal returns the encoded message followed by the quarantine records, if any.
 func marshal(message any, requests []quarantine.Record) ([]byte, error) {
 	raw, err := cbor.Marshal(message)
 	if err != nil || len(requests) == 0 {
 		return raw, errors.Wrap(err, "heartbeat: encode")
 	}
 	tail, err := cbor.Marshal(requests)
-	return append(raw, tail...), errors.Wrap(err, "heartbeat: encode requests")
+	return append(raw, tail...), errors.Wrap(err, "heartbeat: encode quarantine records")
 }
 
-// unmarshal reads a message and what follows it on requests.
+// unmarshal decodes a message and returns the quarantine records that follow it.
 func unmarshal(body []byte, message any) ([]quarantine.Record, error) {
 	rest, err := cbor.UnmarshalFirst(body, message)
 	if err != nil || len(rest) == 0 {
@@ -28,7 +28,7 @@
 	}
 	var requests []quarantine.Record
 	if err := cbor.Unmarshal(rest, &requests); err != nil {
-		return nil, errors.WithHint(errors.Wrap(err, "heartbeat: requests"), "run the same version on all nodes")
+		return nil, errors.WithHint(errors.Wrap(err, "heartbeat: decode quarantine records"), "run the same version on all nodes")
 	}
 	return requests, nil
 }
--- a/heartbeat/schedule.go
+++ b/heartbeat/schedule.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// outboundSlack is how many times as many messages as it should get a node may
-// send: one that is the relay of more nodes than others sends more.
+// outboundSlack is the factor by which a node may exceed MaxInbound in messages sent per
+// second: a node that is the relay of more subscribers than others sends more.
 const outboundSlack = 1.5
 
-// serving is a message that a recipient got.
-type serving struct {
-	turn int
-	at   time.Time
+// sendRecord is the last message sent to a recipient.
+type sendRecord struct {
+	sendSeq int
+	at      time.Time
 }
 
-// recipients returns who gets a report or a sum: the nodes of the own group, seeds
-// that are not known to live, and subscribers.
+// recipients returns the nodes that are sent a report or a sum: those of this node's group,
+// seeds that are not live, and subscribers.
 func (m *Machine) recipients(seeds []string, now time.Time) []string {
 	var to []string
-	lost := m.cfg.lostFor(m.view.interval())
+	lost := m.cfg.lostTimeout(m.view.interval())
 	for n, p := range m.view.peers {
 		if m.view.inOwnGroup(p) || slices.Contains(seeds, n) && !p.live(lost, now) {
 			to = append(to, n)
@@ -34,16 +34,17 @@
 	return slices.Compact(to)
 }
 
-// nextBatch returns the nodes whose turn it is and the number of others. Those go first
-// that have waited an interval for a report, so that no number of new subscribers keeps
-// a node from being counted; then those served longest ago, new subscribers before all.
-func (m *Machine) nextBatch(recipients []string, now time.Time) (batch []string, rest int) {
-	maps.DeleteFunc(m.served, func(n string, _ serving) bool {
+// nextBatch returns the nodes to be sent a message now and the number of remaining ones. Nodes
+// that have waited an interval for a report come first, so that a large number of new
+// subscribers can't stop a node from being counted; then those with the oldest last message,
+// where new subscribers come before all others.
+func (m *Machine) nextBatch(recipients []string, now time.Time) (batch []string, remaining int) {
+	maps.DeleteFunc(m.lastSent, func(n string, _ sendRecord) bool {
 		_, found := slices.BinarySearch(recipients, n)
 		return !found
 	})
 	interval := m.view.interval()
-	overdue := func(n string) bool { return m.leases[n] == nil && now.Sub(m.served[n].at) >= interval }
+	overdue := func(n string) bool { return m.leases[n] == nil && now.Sub(m.lastSent[n].at) >= interval }
 	batch = slices.Clone(recipients)
 	slices.SortStableFunc(batch, func(a, b string) int {
 		switch x, y := overdue(a), overdue(b); {
@@ -52,18 +53,18 @@
 		case y && !x:
 			return 1
 		}
-		return cmp.Compare(m.served[a].turn, m.served[b].turn)
+		return cmp.Compare(m.lastSent[a].sendSeq, m.lastSent[b].sendSeq)
 	})
 	batch = batch[:min(m.cfg.Batch, len(batch))]
 	for _, n := range batch {
-		m.turn++
-		m.served[n] = serving{m.turn, now}
+		m.sendSeq++
+		m.lastSent[n] = sendRecord{m.sendSeq, now}
 	}
 	return batch, len(recipients) - len(batch)
 }
 
-// pace returns the time until the next batch, so that all are served within
-// the interval.
+// pace returns the time until the next batch, such that all recipients are served within the
+// interval.
 func (m *Machine) pace(batch, all int) time.Duration {
 	interval := m.view.interval()
 	if all == 0 {
@@ -73,17 +74,17 @@
 	return max(interval, outbound) * time.Duration(batch) / time.Duration(all)
 }
 
-// content is what a recipient gets.
+// content is the kind of message for a recipient.
 type content int
 
 const (
 	ownReport content = iota
 	sumOnly
 	sumWithMembers
-	contents
+	contentKinds
 )
 
-// contentFor returns what the node to gets this time.
+// contentFor returns the kind of the next message to a node and counts it.
 func (m *Machine) contentFor(to string) content {
 	l, ok := m.leases[to]
 	if !ok {
@@ -99,7 +100,7 @@
 // messages returns the sums and reports for a batch.
 func (m *Machine) messages(own Report, batch []string, now time.Time) ([]Datagram, error) {
 	header := m.header(own)
-	var bodies [contents][]byte
+	var bodies [contentKinds][]byte
 	out := make([]Datagram, 0, len(batch))
 	for _, to := range batch {
 		c := m.contentFor(to)
--- a/heartbeat/size_test.go
+++ b/heartbeat/size_test.go
@@ -14,9 +14,9 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// While targets register, each node is at another revision. Those that are behind don't
+// While targets register, each node has a different revision. Nodes that are behind must not
 // all ask the newest one.
-func TestNodesThatAreBehindAskDifferentOnes(t *testing.T) {
+func TestNodesThatAreBehindAskDifferentNodes(t *testing.T) {
 	const nodes, asks = 986, 986
 	is, v, r := is.New(t), NewView(DefaultConfig(), "self"), rng()
 	for i := range nodes {
@@ -35,8 +35,7 @@
 	is.True(busiest <= 16)
 }
 
-// The word of a node that is ahead and as new as the store counts for those behind it
-// while that node lives.
+// The confirmation of a live node with a later revision counts for nodes with an earlier one.
 func TestConfirmedBeyondARevision(t *testing.T) {
 	is, v := is.New(t), NewView(DefaultConfig(), "self")
 	v.Receive(Report{Node: "a", Sequence: 1, Revision: 9, ConfirmedAge: 300}, start)
@@ -48,44 +47,44 @@
 	is.True(v.ConfirmedBeyond(7, start.Add(time.Hour)).IsZero())
 }
 
-// A group's sum holds at any size until the first sum of another relay can be there, or
-// one that is lost would drop all of the group's counts.
-func TestSumHoldsUntilAnotherRelayAnswers(t *testing.T) {
+// At any fleet size a group's sum is kept until the first sum of another relay can arrive.
+// Otherwise losing one relay would drop all counts of the group.
+func TestSumIsKeptUntilAnotherRelayAnswers(t *testing.T) {
 	cfg := DefaultConfig()
 	for _, nodes := range []int{17, 66, 295, 370, 986, 1972} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			interval := cfg.IntervalFor(nodes)
 			relay := &subscription{delivered: true, heard: start, relays: []string{"a"}, until: start.Add(time.Hour)}
 			replaced := start
-			for relay.due(interval, cfg.silentFor(interval), replaced) == "" {
+			for relay.due(interval, cfg.relayTimeout(interval), replaced) == "" {
 				replaced = replaced.Add(time.Millisecond)
 			}
 			answered := replaced.Add(interval * 3 / 4)
-			is.New(t).True(answered.Sub(start) <= cfg.sumFreshFor(interval))
+			is.New(t).True(answered.Sub(start) <= cfg.sumTTL(interval))
 		})
 	}
 }
 
-// Nodes that are heard or lost together are named in one line.
-func TestManyNodesHeardAtOnceAreOneLine(t *testing.T) {
-	is, out := is.New(t), &lines{}
+// Many nodes that are heard or lost together are logged on one line.
+func TestManyNodeChangesAreOneLogLine(t *testing.T) {
+	is, out := is.New(t), &lineCounter{}
 	e := NewExchange(DefaultConfig(), "10.0.0.1:1", nil, log.New(out), prometheus.NewRegistry())
 	for i := range 986 {
 		e.machine.view.Receive(Report{Node: nodeName(i), Sequence: 1}, start)
 	}
-	e.noteLives(start)
+	e.updateLiveness(start)
 	is.Equal(out.count, 1)
-	e.noteLives(start.Add(time.Hour))
+	e.updateLiveness(start.Add(time.Hour))
 	is.Equal(out.count, 2)
 	e.machine.view.Receive(Report{Node: nodeName(3), Sequence: 2}, start.Add(time.Hour))
-	e.noteLives(start.Add(time.Hour))
+	e.updateLiveness(start.Add(time.Hour))
 	is.Equal(out.count, 3)
 }
 
-// lines counts log lines.
-type lines struct{ count int }
+// lineCounter counts log lines.
+type lineCounter struct{ count int }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lineCounter) Write(p []byte) (int, error) {
 	l.count += bytes.Count(p, []byte("\n"))
 	return len(p), nil
 }
--- a/heartbeat/sum.go
+++ b/heartbeat/sum.go
@@ -12,8 +12,8 @@
 	"github.com/knapweedgw/knapweedgw/quarantine"
 )
 
-// kind is the first byte of a datagram that is no Report. A Report is a CBOR array,
-// whose first byte is another.
+// kind is the first byte of a datagram that is not a Report. A Report is a CBOR array, which
+// begins with a different byte.
 type kind byte
 
 const (
@@ -21,21 +21,21 @@
 	kindSubscription kind = 2
 )
 
-// GroupSum is what all live nodes of a group together run and saw, told to nodes of
-// other groups by one of them, the relay.
+// GroupSum is the sum of the reports of all live nodes of a group. One of them, the relay,
+// sends it to nodes of other groups.
 type GroupSum struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the relay's brief report of itself, with the uses of its group.
+	// From is the relay's brief report, with the uses of its group.
 	From Report
-	// Groups is the number of groups by which the relay goes, Wanted the number it
-	// finds right for the nodes that it knows.
+	// Groups is the number of groups that the relay uses, Wanted the number that suits the
+	// fleet as the relay sees it.
 	Groups, Wanted int
 	Group          int
-	// Nodes is the number of nodes that are added up.
+	// Nodes is the number of nodes in the sum.
 	Nodes int
 	// Counts are the packed sums.
 	Counts []byte
-	// Members are the live nodes of the group, in some sums only.
+	// Members are the live nodes of the group. Only some sums list them.
 	Members []Member
 }
 
@@ -43,12 +43,12 @@
 type Member struct {
 	_       struct{} `cbor:",toarray"`
 	Address []byte
-	// Last says that the node can't reach the store or leaves, so that it comes last
-	// in the order of the watchers.
+	// Last reports that the node can't reach the store or is leaving, so that it ranks last as
+	// a watcher.
 	Last bool
 }
 
-// Subscription asks a node for the sums of its group until a lease is over.
+// Subscription asks a node for the sums of its group for the duration of a lease.
 type Subscription struct {
 	_      struct{} `cbor:",toarray"`
 	From   Report
@@ -63,12 +63,12 @@
 	return append([]byte{byte(k)}, raw...), nil
 }
 
-// textAddress is the first byte of a packed address that is no ip:port. No host has
-// an IPv4 address that begins with it.
+// textAddress is the first byte of a packed address that is not an ip:port. No host has an IPv4
+// address that begins with it.
 const textAddress = 0
 
-// packAddress returns the binary form of an ip:port, 6 bytes for IPv4 where the
-// text has up to 21.
+// packAddress returns the binary form of an ip:port, which for IPv4 takes 6 bytes instead of up
+// to 21 as text.
 func packAddress(node string) []byte {
 	addr, err := netip.ParseAddrPort(node)
 	if err != nil {
@@ -92,17 +92,17 @@
 	return addr.String()
 }
 
-// targetSum is a target's sum.
+// targetSum is the sum for one target.
 type targetSum struct {
 	target uint32
 	Sum
 }
 
-// Packed sums are in the order of the targets' hashes. Each is a variable-length
-// integer that holds the distance to the hash before and, in its lowest bit, whether
-// more follows than that one request is in progress: a byte that holds Running, if
-// that is under packedRunning, and which of the other numbers follow, and those as
-// variable-length integers. It takes 4 to 6 bytes where CBOR takes 11.
+// Packed sums are sorted by the targets' hashes. Each starts with a varint that holds the
+// distance to the previous hash and, in its lowest bit, whether more follows; if not, the sum
+// is a single request in progress. Otherwise a byte follows that holds Running if it is less
+// than packedRunning, and flags for the other numbers present, then these numbers as varints.
+// An entry takes 4 to 6 bytes, compared with 11 in CBOR.
 const (
 	packedRunning  = 15
 	hasAnswered    = 1 << 4
@@ -110,12 +110,12 @@
 	hasUnreachable = 1 << 6
 )
 
-// maxSums is the most targets in one message, which are under 10 kB: as many as
-// a group of 23 nodes uses at 40 requests in progress a node.
+// maxSums is the maximum number of targets in one message, which then takes less than 10 kB. A
+// group of 23 nodes with 40 requests in progress per node uses that many targets.
 const maxSums = 1000
 
-// pack returns the sums in wire form, those with the most requests if there are too
-// many for one message.
+// pack returns the sums in wire format. If there are too many for one message, those with the
+// most requests are included.
 func (m sums) pack() []byte {
 	all := make([]targetSum, 0, len(m))
 	for t, s := range m {
@@ -126,21 +126,21 @@
 		all = all[:maxSums]
 	}
 	slices.SortFunc(all, func(a, b targetSum) int { return cmp.Compare(a.target, b.target) })
-	const usualSize = 6 // bytes a target
-	out := make([]byte, 0, usualSize*len(all))
-	before := uint32(0)
+	const typicalSize = 6 // bytes per target
+	out := make([]byte, 0, typicalSize*len(all))
+	previous := uint32(0)
 	for _, t := range all {
-		out = t.append(out, before)
-		before = t.target
+		out = t.append(out, previous)
+		previous = t.target
 	}
 	return out
 }
 
-// oneRunning is the commonest sum, which takes no byte of its own.
+// oneRunning is the most common sum, which is encoded without a byte of its own.
 var oneRunning = Sum{Running: 1}
 
-func (t targetSum) append(b []byte, before uint32) []byte {
-	head := uint64(t.target-before) << 1
+func (t targetSum) append(b []byte, previous uint32) []byte {
+	head := uint64(t.target-previous) << 1
 	if t.Sum == oneRunning {
 		return binary.AppendUvarint(b, head)
 	}
@@ -162,28 +162,28 @@
 	return b
 }
 
-var errPackedSums = errors.New("packed sums are cut short or out of range")
+var errPackedSums = errors.New("heartbeat: packed sums are truncated or out of range")
 
-// unpack reads packed sums.
+// unpack decodes packed sums.
 func unpack(b []byte) ([]targetSum, error) {
 	var out []targetSum
-	before := uint32(0)
+	previous := uint32(0)
 	for len(b) > 0 {
-		t, rest, ok := unpackOne(b, before)
+		t, rest, ok := unpackOne(b, previous)
 		if !ok || len(out) == maxSums {
 			return nil, errors.WithHint(errPackedSums, "run the same version on all nodes")
 		}
-		out, b, before = append(out, t), rest, t.target
+		out, b, previous = append(out, t), rest, t.target
 	}
 	return out, nil
 }
 
-func unpackOne(b []byte, before uint32) (t targetSum, rest []byte, ok bool) {
+func unpackOne(b []byte, previous uint32) (t targetSum, rest []byte, ok bool) {
 	head, size := binary.Uvarint(b)
-	if size <= 0 || head>>1 > math.MaxUint32-uint64(before) {
+	if size <= 0 || head>>1 > math.MaxUint32-uint64(previous) {
 		return t, nil, false
 	}
-	t.target, b = before+uint32(head>>1), b[size:]
+	t.target, b = previous+uint32(head>>1), b[size:]
 	if head&1 == 0 {
 		t.Sum = oneRunning
 		return t, b, true
@@ -213,7 +213,7 @@
 	return t, b, true
 }
 
-// maxCount is far above what a group can run at a target; more is a fault.
+// maxCount is far more than a group can run at a target; a larger number is invalid.
 const maxCount = 1 << 24
 
 func unpackCount(b []byte) (n int, rest []byte, ok bool) {
--- a/heartbeat/sum_test.go
+++ b/heartbeat/sum_test.go
@@ -11,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/health"
 )
 
-func TestPackedSumsAreReadAgain(t *testing.T) {
+func TestPackedSumsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.OneOf(rapid.Just(0), rapid.IntRange(0, 20), rapid.IntRange(0, maxCount))
 		want := make(sums)
@@ -41,7 +41,7 @@
 	})
 }
 
-// Of more targets than fit into a message, those with the most requests go in.
+// If there are more targets than fit into a message, those with the most requests are included.
 func TestTooManySums(t *testing.T) {
 	is, m := is.New(t), make(sums)
 	for i := range 2 * maxSums {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestPackedSumsThatAreCutShort(t *testing.T) {
+func TestTruncatedPackedSums(t *testing.T) {
 	is := is.New(t)
 	whole := sums{7: {Running: 20, Unreachable: 3}}.pack()
 	for n := 1; n < len(whole); n++ {
@@ -72,8 +72,8 @@
 	is.Equal(len(packAddress("10.1.0.40:7340")), 6)
 }
 
-// Every node is in one group, whichever number of groups there is, and the groups of
-// fewer groups are unions of those of more.
+// Every node is in exactly one group for any number of groups, and with fewer groups each group
+// is a union of smaller ones.
 func TestGroupsAreNested(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Uint64().Draw(t, "key")
@@ -86,8 +86,8 @@
 	})
 }
 
-// The number of groups doesn't follow a node that comes and goes.
-func TestGroupsChangeSeldom(t *testing.T) {
+// The number of groups doesn't change when a single node leaves and returns.
+func TestGroupCountHasHysteresis(t *testing.T) {
 	is := is.New(t)
 	for n := 1; n <= 2000; n++ {
 		groups := nextGroups(n, 1)
@@ -103,7 +103,7 @@
 	m := NewMachine(DefaultConfig(), "10.0.0.1:1", 1, nil)
 	own := Report{Targets: []TargetReport{{Target: 7, Running: 3}}}
 	header := m.header(own)
-	for c := range contents {
+	for c := range contentKinds {
 		if raw, err := m.encode(c, header, own, start); err == nil {
 			f.Add(raw)
 		}
@@ -113,18 +113,18 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m := NewMachine(DefaultConfig(), "10.0.0.2:1", 1, nil)
-		_, _ = m.Receive(raw, start) // whatever comes must not end the node
-		m.view.Expire(start.Add(DefaultConfig().Forget))
+		_, _ = m.Receive(raw, start) // invalid datagrams must not cause a panic
+		m.view.Expire(start.Add(DefaultConfig().AddressTTL))
 	})
 }
 
-// A node of a release that knows only reports, each sent to all, is counted by its
-// group and by it only.
+// A report of a node whose release sends only reports, and these to all nodes, is counted by
+// its own group only; the other groups get it in the group's sum.
 func TestReportOfAnEarlierRelease(t *testing.T) {
-	is, f := is.New(t), settled(66, 11)
+	is, f := is.New(t), settledFleet(66, 11)
 	node := f.nodes[40]
 	node.alive = false
-	f.run(goneWithin)
+	f.run(convergenceTime)
 	own := f.own(node)
 	own.Node, own.Incarnation, own.Sequence = nodeName(node.index), 2, 1
 	raw, err := cbor.Marshal(own)
@@ -137,6 +137,6 @@
 		}
 	}
 	f.run(2 * DefaultConfig().IntervalFor(66))
-	counted := f.counted(t, func(n *fleetNode) bool { return n == node })
-	is.True(counted > 60)
+	countedPairs := f.countedPairs(t, func(n *fleetNode) bool { return n == node })
+	is.True(countedPairs > 60)
 }
--- a/heartbeat/view.go
+++ b/heartbeat/view.go
@@ -1,6 +1,6 @@
-// Package heartbeat lets the nodes of a fleet tell each other, by datagrams,
-// that they are alive, which versions of the configuration and of the list of
-// targets they have, and what they run and see of each target.
+// Package heartbeat is the gossip between the nodes of a fleet. By datagrams they exchange
+// liveness, the versions of their configuration and list of targets, and their load on and
+// observations of each target.
 package heartbeat
 
 import (
@@ -11,24 +11,25 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// peer is another node.
+// peer is the state of another node.
 type peer struct {
 	report Report
-	// heard is when it was last heard itself, named when another node last named
-	// it as live, with namedLast as in Member.
-	heard, named time.Time
-	namedLast    bool
-	// known is when the address was last confirmed by anyone.
-	known time.Time
-	// ended are its incarnations before that of report, the newest first.
+	// heard is when the last message from it was received, listed when another node last listed
+	// it as live, with listedLast taken from Member.Last.
+	heard, listed time.Time
+	listedLast    bool
+	// addressSeen is when the address was last seen in any source: a message from it, a list of
+	// nodes or the seeds.
+	addressSeen time.Time
+	// ended are the incarnations before that of report, newest first.
 	ended []int64
-	// order is its place in the order of the watchers, key tells its group.
-	order, key uint64
+	// watchOrder is its position in the order of watchers, key determines its group.
+	watchOrder, key uint64
 }
 
-// endedKept is the number of a node's ended incarnations that are remembered, so
-// that a late datagram of one of them doesn't bring its counts back.
-const endedKept = 4
+// maxEnded is the number of ended incarnations kept per node, so that a late datagram of one of
+// them doesn't restore its counts.
+const maxEnded = 4
 
 // groupCounts is the sum of another group.
 type groupCounts struct {
@@ -36,30 +37,30 @@
 	at     time.Time
 }
 
-// View is what a node believes of the others. It is pure: the caller passes
-// the time, and one goroutine at a time may use it.
+// View is a node's view of the other nodes. It has no clock of its own: the caller passes the
+// time. It is not safe for concurrent use.
 //
-// The nodes are divided into groups by a hash of their addresses. Within its group a
-// node hears each other node; of each other group it hears the sum, from one of that
-// group's nodes. Since a node is in the same group for all, none is counted twice.
-// A small fleet is one group.
+// The nodes are divided into groups by a hash of their addresses. A node receives reports from
+// each other node of its group and, for each other group, the sum from one of that group's
+// nodes. Since all nodes agree on each node's group, none is counted twice. A small fleet is a
+// single group.
 type View struct {
 	cfg  Config
 	self string
-	// groups is their number, group that of this node, key tells it.
+	// groups is the number of groups, group the one of this node, determined by key.
 	groups, group int
 	key           uint64
 	peers         map[string]*peer
-	// sums are over all other nodes, own over those of this node's group.
-	sums, own sums
-	others    map[int]groupCounts
+	// sums covers all other nodes, ownGroup only those of this node's group.
+	sums, ownGroup sums
+	otherGroups    map[int]groupCounts
 }
 
-// NewView returns a view of a fleet in which the node self knows nobody.
+// NewView returns an empty view for the node self.
 func NewView(cfg Config, self string) *View {
 	return &View{
 		cfg: cfg, self: self, groups: 1, key: groupKey(self), peers: make(map[string]*peer),
-		sums: make(sums), own: make(sums), others: make(map[int]groupCounts),
+		sums: make(sums), ownGroup: make(sums), otherGroups: make(map[int]groupCounts),
 	}
 }
 
@@ -71,34 +72,34 @@
 		}
 		p, ok := v.peers[n]
 		if !ok {
-			p = &peer{order: watchHash(n), key: groupKey(n)}
+			p = &peer{watchOrder: watchHash(n), key: groupKey(n)}
 			v.peers[n] = p
 		}
-		p.known = now
+		p.addressSeen = now
 	}
 }
 
-// Receive takes a report. It returns false if a newer one is known.
+// Receive processes a report. It returns false if the report is not newer than the last one.
 func (v *View) Receive(r Report, now time.Time) bool {
 	if r.Node == v.self || r.Node == "" {
 		return false
 	}
 	v.Know(now, r.Node)
 	p := v.peers[r.Node]
-	if !p.isNews(r) {
+	if !p.isNewReport(r) {
 		return false
 	}
 	if p.report.Incarnation != r.Incarnation && !p.heard.IsZero() {
-		v.end(p)
+		v.endIncarnation(p)
 	}
 	switch {
 	case r.Brief:
 		r.Targets = p.report.Targets
 	case v.inOwnGroup(p):
-		v.count(p.report.Targets, -1)
-		v.count(r.Targets, 1)
+		v.updateCounts(p.report.Targets, -1)
+		v.updateCounts(r.Targets, 1)
 	default:
-		r.Targets = nil // they are in the sum of its group
+		r.Targets = nil // they are included in the sum of its group
 	}
 	p.report, p.heard = r, now
 	for _, n := range r.Nodes {
@@ -109,59 +110,60 @@
 	return true
 }
 
-// end forgets what an incarnation that is over ran: its connections are gone with it.
-func (v *View) end(p *peer) {
-	v.count(p.report.Targets, -1)
+// endIncarnation drops the counts of a node's previous incarnation: its connections ended with
+// the process.
+func (v *View) endIncarnation(p *peer) {
+	v.updateCounts(p.report.Targets, -1)
 	p.report.Targets = nil
 	p.ended = slices.Insert(p.ended, 0, p.report.Incarnation)
-	p.ended = p.ended[:min(len(p.ended), endedKept)]
+	p.ended = p.ended[:min(len(p.ended), maxEnded)]
 }
 
-// isNews says whether a report is newer than the last.
-func (p *peer) isNews(r Report) bool {
+// isNewReport reports whether r is newer than the last report.
+func (p *peer) isNewReport(r Report) bool {
 	if p.report.Incarnation == r.Incarnation {
 		return r.Sequence > p.report.Sequence
 	}
 	return !slices.Contains(p.ended, r.Incarnation)
 }
 
-// count adds reports of nodes of the own group.
-func (v *View) count(targets []TargetReport, sign int) {
-	v.own.addReports(targets, sign)
+// updateCounts adds (sign 1) or subtracts (sign -1) the report of a node of this node's group.
+func (v *View) updateCounts(targets []TargetReport, sign int) {
+	v.ownGroup.addReports(targets, sign)
 	v.sums.addReports(targets, sign)
 }
 
 func (v *View) inOwnGroup(p *peer) bool { return groupOf(p.key, v.groups) == v.group }
 
-// Regroup divides the nodes into another number of groups. What was counted is
-// dropped; it comes again within an interval or two.
+// Regroup divides the nodes into another number of groups. Counts of other groups are dropped;
+// they arrive again within an interval or two.
 func (v *View) Regroup(groups int) {
 	v.groups, v.group = groups, groupOf(v.key, groups)
 	clear(v.sums)
-	clear(v.own)
-	clear(v.others)
+	clear(v.ownGroup)
+	clear(v.otherGroups)
 	for _, p := range v.peers {
 		if !v.inOwnGroup(p) {
 			p.report.Targets = nil
 		}
-		v.count(p.report.Targets, 1)
+		v.updateCounts(p.report.Targets, 1)
 	}
 }
 
-// receiveSum takes the sum of another group.
+// receiveSum replaces the sum of another group.
 func (v *View) receiveSum(group int, counts []targetSum, now time.Time) {
 	v.dropSum(group)
-	v.others[group] = groupCounts{counts: counts, at: now}
+	v.otherGroups[group] = groupCounts{counts: counts, at: now}
 	v.sums.addCounts(counts, 1)
 }
 
 func (v *View) dropSum(group int) {
-	v.sums.addCounts(v.others[group].counts, -1)
-	delete(v.others, group)
+	v.sums.addCounts(v.otherGroups[group].counts, -1)
+	delete(v.otherGroups, group)
 }
 
-// name takes the live nodes of a group as one of them knows them.
-func (v *View) name(members []Member, now time.Time) {
+// receiveMembers records the live nodes of a group as listed by one of its nodes.
+func (v *View) receiveMembers(members []Member, now time.Time) {
 	for _, m := range members {
 		node := unpackAddress(m.Address)
 		if node == v.self || node == "" {
@@ -169,26 +171,26 @@
 		}
 		v.Know(now, node)
 		p := v.peers[node]
-		p.named, p.namedLast = now, m.Last
+		p.listed, p.listedLast = now, m.Last
 	}
 }
 
-// members returns the live nodes of the own group that were heard themselves.
+// members returns the live nodes of this node's group from which it gets reports itself.
 func (v *View) members(now time.Time) []Member {
 	var out []Member
-	lost := v.cfg.lostFor(v.interval())
+	lost := v.cfg.lostTimeout(v.interval())
 	for n, p := range v.peers {
 		if v.inOwnGroup(p) && p.heardWithin(lost, now) {
-			out = append(out, Member{Address: packAddress(n), Last: p.comesLast()})
+			out = append(out, Member{Address: packAddress(n), Last: p.watchesLast()})
 		}
 	}
 	return out
 }
 
-// counted returns of how many nodes of the own group the counts hold.
-func (v *View) counted(now time.Time) int {
+// countedNodes returns the number of other nodes of this node's group whose counts are current.
+func (v *View) countedNodes(now time.Time) int {
 	n := 0
-	fresh := v.cfg.freshFor(v.interval())
+	fresh := v.cfg.countTTL(v.interval())
 	for _, p := range v.peers {
 		if v.inOwnGroup(p) && p.heardWithin(fresh, now) {
 			n++
@@ -197,81 +199,82 @@
 	return n
 }
 
-// Heard says whether the node has ever reported.
-func (v *View) Heard(node string) bool {
+// HasReported reports whether a report of the node was ever received.
+func (v *View) HasReported(node string) bool {
 	p, ok := v.peers[node]
 	return ok && !p.heard.IsZero()
 }
 
-// Expire drops the counts of nodes and groups that fell silent and the addresses of
+// Expire drops the counts of nodes and groups that have fallen silent, and the addresses of
 // nodes that were lost long ago.
 func (v *View) Expire(now time.Time) {
-	fresh := v.cfg.freshFor(v.interval())
+	fresh := v.cfg.countTTL(v.interval())
 	for addr, p := range v.peers {
 		if !p.heardWithin(fresh, now) && p.report.Targets != nil {
-			v.count(p.report.Targets, -1)
+			v.updateCounts(p.report.Targets, -1)
 			p.report.Targets = nil
 		}
-		if now.Sub(p.known) > v.cfg.Forget {
+		if now.Sub(p.addressSeen) > v.cfg.AddressTTL {
 			delete(v.peers, addr)
 		}
 	}
-	sumFresh := v.cfg.sumFreshFor(v.interval())
-	for group, c := range v.others {
+	sumFresh := v.cfg.sumTTL(v.interval())
+	for group, c := range v.otherGroups {
 		if now.Sub(c.at) > sumFresh {
 			v.dropSum(group)
 		}
 	}
 }
 
-// Target returns what the others say of the target's run with the given hash.
+// Target returns the sum of the other nodes' reports about the target incarnation with the
+// given hash.
 func (v *View) Target(hash uint64) Sum { return v.sums[uint32(hash)] }
 
-// Lives returns the number of live nodes, this one included.
+// Lives returns the number of live nodes, including this one.
 func (v *View) Lives(now time.Time) int {
 	n := 1
 	v.live(now, func(string, *peer) { n++ })
 	return n
 }
 
-// size is the number of known nodes, this one included: those that were lost lately
-// are among it, so that a group of nodes which comes and goes changes little.
+// size returns the number of known nodes, including this one. Recently lost nodes are included,
+// so that a set of nodes that leaves and returns has little effect.
 func (v *View) size() int { return len(v.peers) + 1 }
 
 // interval returns the time between two messages to the same node.
 func (v *View) interval() time.Duration { return v.cfg.IntervalFor(v.size()) }
 
-// namesHold is how many times as long as a node's own word another's word that it
-// lives holds: that comes with every other sum only, and one may be lost.
-const namesHold = 2
+// listedTTLFactor is how many times longer a node counts as live after another node listed it
+// than after a message of its own: lists come with every other sum only, and one may be lost.
+const listedTTLFactor = 2
 
-// live says whether a node was heard, or named as live, within the time after which
-// it is lost.
+// live reports whether a message from the node came within lost, or another node listed it as
+// live within listedTTLFactor times lost.
 func (p *peer) live(lost time.Duration, now time.Time) bool {
-	return p.heardWithin(lost, now) || !p.named.IsZero() && now.Sub(p.named) <= namesHold*lost
+	return p.heardWithin(lost, now) || !p.listed.IsZero() && now.Sub(p.listed) <= listedTTLFactor*lost
 }
 
 func (p *peer) heardWithin(d time.Duration, now time.Time) bool {
 	return !p.heard.IsZero() && now.Sub(p.heard) <= d
 }
 
-// comesLast says whether the node comes last in the order of the watchers.
-func (p *peer) comesLast() bool {
-	if p.named.After(p.heard) {
-		return p.namedLast
+// watchesLast reports whether the node comes last in the order of watchers.
+func (p *peer) watchesLast() bool {
+	if p.listed.After(p.heard) {
+		return p.listedLast
 	}
 	return p.report.StoreLost || p.report.Leaving
 }
 
-// isLive says whether the node was heard or named lately.
+// isLive reports whether the node is live.
 func (v *View) isLive(node string, now time.Time) bool {
 	p, ok := v.peers[node]
-	return ok && p.live(v.cfg.lostFor(v.interval()), now)
+	return ok && p.live(v.cfg.lostTimeout(v.interval()), now)
 }
 
 // live calls f for each live node.
 func (v *View) live(now time.Time, f func(node string, p *peer)) {
-	lost := v.cfg.lostFor(v.interval())
+	lost := v.cfg.lostTimeout(v.interval())
 	for n, p := range v.peers {
 		if p.live(lost, now) {
 			f(n, p)
@@ -279,7 +282,7 @@
 	}
 }
 
-// Addresses returns where other nodes are or were lately.
+// Addresses returns the addresses of all known nodes, including recently lost ones.
 func (v *View) Addresses() []string {
 	out := make([]string, 0, len(v.peers))
 	for addr := range v.peers {
@@ -299,11 +302,11 @@
 	return out
 }
 
-// Ahead returns a live node with a newer configuration than catalog or newer targets
-// than revision; ok is false if there is none. It is the newer one of two at random: if
-// all that are behind asked the newest, that one would have to serve them all.
+// Ahead returns a live node with a newer configuration than catalog or newer targets than
+// revision; ok is false if there is none. It picks the newer of two random ones: if all nodes
+// that are behind asked the newest node, that node would have to serve them all.
 func (v *View) Ahead(catalog, revision int64, now time.Time, rng *rand.Rand) (node string, ok bool) {
-	var drawn [2]string
+	var picked [2]string
 	var reports [2]Report
 	ahead := 0
 	v.live(now, func(addr string, p *peer) {
@@ -313,26 +316,26 @@
 		}
 		ahead++
 		at := ahead - 1
-		if ahead > len(drawn) {
+		if ahead > len(picked) {
 			at = rng.IntN(ahead)
 		}
-		if at < len(drawn) {
-			drawn[at], reports[at] = addr, r
+		if at < len(picked) {
+			picked[at], reports[at] = addr, r
 		}
 	})
 	if ahead > 1 && reports[1].isNewer(reports[0]) {
-		return drawn[1], true
+		return picked[1], true
 	}
-	return drawn[0], ahead > 0
+	return picked[0], ahead > 0
 }
 
-// isNewer says whether its sender has a newer copy of the store than that of o.
+// isNewer reports whether the sender of r has a newer copy of the store than the sender of o.
 func (r Report) isNewer(o Report) bool {
 	return r.Catalog > o.Catalog || r.Catalog == o.Catalog && r.Revision > o.Revision
 }
 
-// Confirmed returns when a node at the given revision last knew that it is the
-// store's newest; zero for never.
+// Confirmed returns when a node at the given revision last confirmed that this revision is the
+// store's newest. It is zero if none has.
 func (v *View) Confirmed(revision int64) time.Time {
 	var newest time.Time
 	for _, p := range v.peers {
@@ -346,8 +349,8 @@
 	return newest
 }
 
-// ConfirmedBeyond returns when a live node at a later revision last knew that that is the
-// store's newest; zero for never.
+// ConfirmedBeyond returns when a live node at a later revision than the given one last
+// confirmed that its revision is the store's newest. It is zero if none has.
 func (v *View) ConfirmedBeyond(revision int64, now time.Time) time.Time {
 	var newest time.Time
 	v.live(now, func(_ string, p *peer) {
@@ -361,8 +364,8 @@
 	return newest
 }
 
-// confirmedAt returns when the node last knew that its revision was the store's newest;
-// ok is false for never.
+// confirmedAt returns when the node last confirmed that its revision is the store's newest; ok
+// is false if it never has.
 func (p *peer) confirmedAt() (at time.Time, ok bool) {
 	if p.heard.IsZero() || p.report.ConfirmedAge < 0 {
 		return time.Time{}, false
@@ -370,26 +373,26 @@
 	return p.heard.Add(-time.Duration(p.report.ConfirmedAge) * time.Millisecond), true
 }
 
-// Rank returns how many live nodes go before this one in an order that all
-// nodes share: those first that reach the store and don't leave, each group in
-// the order of their hashes. heard is the number of live nodes but this one.
+// Rank returns the number of live nodes that precede this one in an order on which all nodes
+// agree: nodes that reach the store and are not leaving come first, and within both classes
+// nodes are ordered by hash. heard is the number of other live nodes.
 func (v *View) Rank(storeLost, leaving bool, now time.Time) (rank, heard int) {
-	own := order{storeLost || leaving, watchHash(v.self)}
+	own := watchOrder{storeLost || leaving, watchHash(v.self)}
 	v.live(now, func(_ string, p *peer) {
 		heard++
-		if (order{p.comesLast(), p.order}).before(own) {
+		if (watchOrder{p.watchesLast(), p.watchOrder}).precedes(own) {
 			rank++
 		}
 	})
 	return rank, heard
 }
 
-type order struct {
+type watchOrder struct {
 	last bool
 	hash uint64
 }
 
-func (a order) before(b order) bool {
+func (a watchOrder) precedes(b watchOrder) bool {
 	if a.last != b.last {
 		return b.last
 	}
--- a/heartbeat/view_test.go
+++ b/heartbeat/view_test.go
@@ -40,8 +40,9 @@
 	is.True(v.Receive(restarted, start))
 }
 
-// What a silent node ran is over or will be: its connections are gone with it.
-func TestSilentNodeIsForgottenStepByStep(t *testing.T) {
+// The counts of a silent node are dropped first, since its connections are gone or will be;
+// later it counts as lost, and at last its address is dropped.
+func TestSilentNodeExpires(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	v := NewView(cfg, "self")
 	v.Receive(report("a", 1, TargetReport{Target: 7, Running: 3}), start)
@@ -51,11 +52,11 @@
 	is.Equal(v.Target(7), Sum{})
 	is.Equal(v.Lives(start.Add(9*cfg.Interval)), 1)
 	is.Equal(v.Addresses(), []string{"a"})
-	v.Expire(start.Add(cfg.Forget + 1))
+	v.Expire(start.Add(cfg.AddressTTL + 1))
 	is.Equal(v.Addresses(), []string{})
 }
 
-func TestNodesSpreadByReports(t *testing.T) {
+func TestReportsListOtherNodes(t *testing.T) {
 	is, v := is.New(t), NewView(DefaultConfig(), "self")
 	r := report("a", 1)
 	r.Nodes = []string{"b", "self"}
@@ -84,7 +85,7 @@
 	is, cfg := is.New(t), DefaultConfig()
 	is.Equal(cfg.IntervalFor(8), cfg.Interval)
 	for _, n := range []int{30, 73, 370, 1000} {
-		is.True(inbound(n)/cfg.IntervalFor(n).Seconds() <= cfg.MaxInbound+0.001)
+		is.True(inboundPerInterval(n)/cfg.IntervalFor(n).Seconds() <= cfg.MaxInbound+0.001)
 	}
 }
 
@@ -102,7 +103,7 @@
 	})
 }
 
-// A brief report brings versions and leaves the counts as they are.
+// A brief report updates versions and leaves the counts unchanged.
 func TestBriefReportKeepsCounts(t *testing.T) {
 	is, v := is.New(t), NewView(DefaultConfig(), "self")
 	v.Receive(report("a", 1, TargetReport{Target: 7, Running: 3}), start)
@@ -114,7 +115,7 @@
 	is.True(ok)
 }
 
-// A brief report of a process that started again brings nothing of the earlier one.
+// A brief report of a restarted process drops the counts of the earlier process.
 func TestBriefReportOfANewIncarnation(t *testing.T) {
 	is, v := is.New(t), NewView(DefaultConfig(), "self")
 	v.Receive(report("a", 7, TargetReport{Target: 7, Running: 3}), start)
@@ -126,20 +127,20 @@
 	is.Equal(v.Target(7), Sum{})
 }
 
-// A number of groups that no node can mean is ignored.
-func TestClaimOfGroups(t *testing.T) {
+// Invalid proposals for the number of groups are ignored.
+func TestInvalidGroupCountsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	for groups, want := range map[int]int{0: 1, -4: 1, 3: 1, 2 * maxGroups: 1, 1: 1, 8: 8} {
 		m := NewMachine(DefaultConfig(), "self", 1, rand.New(rand.NewPCG(1, 1)))
-		m.claim(groups, start)
+		m.receiveProposal(groups, start)
 		m.regroup(start)
 		is.Equal(m.view.groups, want)
 	}
 }
 
-// All nodes agree on the order of watchers. Those that can't reach the store,
-// or leave, come last.
-func TestRankIsOneOrder(t *testing.T) {
+// All nodes agree on the order of watchers. Nodes that can't reach the store or are leaving
+// come last.
+func TestAllNodesAgreeOnRank(t *testing.T) {
 	is := is.New(t)
 	nodes := []string{"a", "b", "c", "d"}
 	ranks := func(lost string) map[string]int {
@@ -168,7 +169,7 @@
 	}
 }
 
-func TestConfirmedGoesByRevision(t *testing.T) {
+func TestConfirmedMatchesRevision(t *testing.T) {
 	is, v := is.New(t), NewView(DefaultConfig(), "self")
 	r := report("a", 1)
 	r.Revision, r.ConfirmedAge = 5, 300
@@ -177,8 +178,8 @@
 	is.True(v.Confirmed(4).IsZero())
 }
 
-// Each node gets its message once an interval, however many there are, and never
-// more than a batch at a moment.
+// Each node is sent one message per interval at any fleet size, and at most one batch is sent
+// at a time.
 func TestReportsAreSpreadOverTheInterval(t *testing.T) {
 	for _, n := range []int{1, 7, 8, 9, 15} {
 		is, cfg := is.New(t), DefaultConfig()
@@ -192,12 +193,12 @@
 		interval, passed := cfg.IntervalFor(n+1), time.Duration(0)
 		got := make(map[string]int)
 		for passed < 100*interval {
-			batch, rest := m.nextBatch(addresses, start.Add(passed))
+			batch, remaining := m.nextBatch(addresses, start.Add(passed))
 			is.True(len(batch) <= cfg.Batch)
 			for _, a := range batch {
 				got[a]++
 			}
-			passed += m.pace(len(batch), len(batch)+rest)
+			passed += m.pace(len(batch), len(batch)+remaining)
 		}
 		is.Equal(len(got), n)
 		for _, times := range got {
