--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-func constant(v float64) func(int) float64 { return func(int) float64 { return v } }
+func constantFunction(v float64) func(int) float64 { return func(int) float64 { return v } }
 
-// between returns high within [from, to) and low outside.
-func between(from, to int, low, high float64) func(int) float64 {
+// stepFunction returns high within [from, to) and low outside.
+func stepFunction(from, to int, low, high float64) func(int) float64 {
 	return func(tick int) float64 {
 		if tick >= from && tick < to {
 			return high
@@ -22,19 +22,18 @@
 	}
 }
 
-// fleet is a service of 100 slots at an eighth of its capacity, before 7 nodes
-// that report to each other every 200 ms, with three kinds of request and ten
-// workspaces.
-func fleet() world {
-	w := world{
+// newSimulation returns a service of 100 slots at an eighth of its capacity, behind 7 nodes
+// that report to each other every 200 ms, with three classes of requests and ten workspaces.
+func newSimulation() simulation {
+	w := simulation{
 		nodes: 7, slots: 100, lag: 100, gated: true,
-		kinds: []kind{
+		kinds: []requestClass{
 			{"urgent", 0, 0.005, 1000}, {"usual", 1, 0.005, 1000}, {"spare", 2, 0.025, 100},
 		},
-		surge: constant(1),
+		surge: constantFunction(1),
 	}
 	for i := range 10 {
-		w.senders = append(w.senders, sender{fmt.Sprint("team-", i), constant(1)})
+		w.senders = append(w.senders, sender{fmt.Sprint("team-", i), constantFunction(1)})
 	}
 	return w
 }
@@ -44,43 +43,43 @@
 	seeds              = 5
 )
 
-// On a usual day nobody is turned away.
-func TestNothingIsTurnedAwayWhileThereIsRoom(t *testing.T) {
+// At usual load no request is rejected.
+func TestNoRejectionsAtUsualLoad(t *testing.T) {
 	for seed := range uint64(seeds) {
-		all := fleet().run(seed, 0, 20_000)[""]
+		all := newSimulation().run(seed, 0, 20_000)[""]
 		is.New(t).Equal(all.refused, 0)
 	}
 }
 
-// A small service before many nodes: each of them begins a few requests a second,
-// often some at once, which says little of the others.
-func TestNothingIsTurnedAwayInALargeFleet(t *testing.T) {
+// A small service behind many nodes: each of them starts a few requests per second, often
+// several at once, so its own rate is a poor estimate of the others'.
+func TestNoRejectionsInALargeFleet(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := fleet()
-		w.nodes, w.slots, w.lag, w.clump = 73, 36, 600, 3
-		w.kinds = []kind{{"plain", 2, 0.28, 80}}
+		w := newSimulation()
+		w.nodes, w.slots, w.lag, w.burst = 73, 36, 600, 3
+		w.kinds = []requestClass{{"plain", 2, 0.28, 80}}
 		all := w.run(seed, 0, 20_000)[""]
-		t.Logf("seed %d: refused %d of %d", seed, all.refused, all.asked)
-		is.New(t).True(all.refused*1000 < all.asked)
+		t.Logf("seed %d: refused %d of %d", seed, all.refused, all.offered)
+		is.New(t).True(all.refused*1000 < all.offered)
 	}
 }
 
-// A surge of 20 times the usual traffic, two and a half times what the service
-// holds: most of its capacity goes into answers in time, which it doesn't without
-// the gate, no kind starves, and none is served less often than a less urgent one.
-func TestSurgeOfAllIsServedToCapacity(t *testing.T) {
+// In a surge of 20 times the usual traffic, two and a half times the capacity, most of the
+// capacity is used for answers in time, which is not so without the gate. No class starves, and
+// none is served less often than a less urgent one.
+func TestSurgeUsesTheCapacity(t *testing.T) {
 	for seed := range uint64(seeds) {
-		is, w := is.New(t), fleet()
-		w.surge = between(surgeFrom, surgeTo, 1, 20)
+		is, w := is.New(t), newSimulation()
+		w.surge = stepFunction(surgeFrom, surgeTo, 1, 20)
 		const capacity = 100 * (surgeTo - surgeFrom)
 		got := w.run(seed, surgeFrom, surgeTo)
 		w.gated = false
-		free := w.run(seed, surgeFrom, surgeTo)
-		used, freely := float64(got[""].work)/capacity, float64(free[""].work)/capacity
+		ungated := w.run(seed, surgeFrom, surgeTo)
+		used, ungatedUsed := float64(got[""].work)/capacity, float64(ungated[""].work)/capacity
 		t.Logf("seed %d: used %.2f, in time %.2f, urgent %.2f, usual %.2f, spare %.2f; without %.2f", seed,
-			used, got[""].served(), got["urgent"].served(), got["usual"].served(), got["spare"].served(), freely)
+			used, got[""].served(), got["urgent"].served(), got["usual"].served(), got["spare"].served(), ungatedUsed)
 		is.True(used > 0.85)
-		is.True(freely < 0.3)
+		is.True(ungatedUsed < 0.3)
 		is.True(got["urgent"].served() > got["usual"].served()-0.05)
 		is.True(got["usual"].served() > got["spare"].served()-0.05)
 		for _, class := range []string{"urgent", "usual", "spare"} {
@@ -89,28 +88,28 @@
 	}
 }
 
-// When the surge is over everybody is served again at once.
-func TestSurgeLeavesNothingBehind(t *testing.T) {
+// After a surge all requests are served again at once.
+func TestRecoveryAfterSurge(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := fleet()
-		w.surge = between(surgeFrom, surgeTo, 1, 20)
+		w := newSimulation()
+		w.surge = stepFunction(surgeFrom, surgeTo, 1, 20)
 		all := w.run(seed, surgeTo+1500, surgeTo+10_000)[""]
 		is.New(t).True(all.served() > 0.99)
 	}
 }
 
-// One workspace sends 200 times its usual: the others are served as before, and
-// what they leave is the surging one's.
-func TestSurgingWorkspaceHarmsNoOther(t *testing.T) {
+// One workspace sends 200 times its usual rate: the others are served as before, and the
+// surging one gets the remaining capacity.
+func TestSurgingWorkspaceDoesNotAffectOthers(t *testing.T) {
 	for seed := range uint64(seeds) {
-		is, w := is.New(t), fleet()
-		w.surge = between(surgeFrom, surgeTo, 1, 21)
-		w.senders[3].part = between(surgeFrom, surgeTo, 1, 200)
+		is, w := is.New(t), newSimulation()
+		w.surge = stepFunction(surgeFrom, surgeTo, 1, 21)
+		w.senders[3].part = stepFunction(surgeFrom, surgeTo, 1, 200)
 		got := w.run(seed, surgeFrom, surgeTo)
 		others := outcome{}
 		for i, s := range w.senders {
 			if i != 3 {
-				others.asked += got[s.name].asked
+				others.offered += got[s.name].offered
 				others.inTime += got[s.name].inTime
 			}
 		}
@@ -120,20 +119,20 @@
 	}
 }
 
-// The same at a small service whose requests are over before the counts of them
-// come: the others get most of what they send all the same.
+// The same at a small service whose requests end before other nodes get their counts: the other
+// workspaces still get most of their requests served.
 func TestSurgingWorkspaceAtSmallService(t *testing.T) {
 	for seed := range uint64(seeds) {
-		is, w := is.New(t), fleet()
+		is, w := is.New(t), newSimulation()
 		w.slots = 24
-		w.kinds = []kind{{"plain", 2, 0.06, 70}}
-		w.surge = between(surgeFrom, surgeTo, 1, 16)
-		w.senders[3].part = between(surgeFrom, surgeTo, 1, 150)
+		w.kinds = []requestClass{{"plain", 2, 0.06, 70}}
+		w.surge = stepFunction(surgeFrom, surgeTo, 1, 16)
+		w.senders[3].part = stepFunction(surgeFrom, surgeTo, 1, 150)
 		got := w.run(seed, surgeFrom, surgeTo)
 		others := outcome{}
 		for i, s := range w.senders {
 			if i != 3 {
-				others.asked += got[s.name].asked
+				others.offered += got[s.name].offered
 				others.inTime += got[s.name].inTime
 			}
 		}
@@ -143,26 +142,25 @@
 	}
 }
 
-// A surging workspace is not turned away while there is room, however old the
-// counts are.
-func TestSurgingWorkspaceIsServedWhileThereIsRoom(t *testing.T) {
+// A surging workspace is not rejected while there is free capacity, however old the counts are.
+func TestSurgingWorkspaceIsServedBelowCapacity(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := fleet()
+		w := newSimulation()
 		w.nodes, w.slots, w.lag = 73, 1000, 600
-		w.surge = between(surgeFrom, surgeTo, 10, 44)
-		w.senders[3].part = between(surgeFrom, surgeTo, 1, 30)
+		w.surge = stepFunction(surgeFrom, surgeTo, 10, 44)
+		w.senders[3].part = stepFunction(surgeFrom, surgeTo, 1, 30)
 		got := w.run(seed, 0, surgeTo)[""]
-		t.Logf("seed %d: refused %d of %d", seed, got.refused, got.asked)
-		is.New(t).True(got.refused*1000 < got.asked)
+		t.Logf("seed %d: refused %d of %d", seed, got.refused, got.offered)
+		is.New(t).True(got.refused*1000 < got.offered)
 	}
 }
 
-// Nine tenths of the slots die: what is left is used for answers in time.
-func TestDeadTargetsLeaveARest(t *testing.T) {
+// Nine tenths of the slots die: the remaining ones are used for answers in time.
+func TestRemainingTargetsAreUsed(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := fleet()
-		w.surge = constant(2)
-		w.slotsAt = func(tick int) int { return int(between(surgeFrom, surgeTo, 100, 10)(tick)) }
+		w := newSimulation()
+		w.surge = constantFunction(2)
+		w.slotsAt = func(tick int) int { return int(stepFunction(surgeFrom, surgeTo, 100, 10)(tick)) }
 		all := w.run(seed, surgeFrom+1000, surgeTo)[""]
 		t.Logf("seed %d: %.2f", seed, all.served())
 		is.New(t).True(all.served() > 0.6*10/25)
@@ -183,7 +181,7 @@
 		{"nearly full, urgent", Request{}, Load{Running: 96, Slots: 100}, true},
 		{"nearly full, less urgent", Request{Priority: 1}, Load{Running: 96, Slots: 100}, false},
 		{"the lowest rank keeps most", Request{Priority: 9}, Load{Running: 79, Slots: 100}, true},
-		{"begun elsewhere", Request{Begun: true}, Load{Running: 99, Slots: 10}, true},
+		{"started at another target", Request{Begun: true}, Load{Running: 99, Slots: 10}, true},
 		{"priority below zero", Request{Priority: -1}, Load{Running: 99, Slots: 100}, true},
 	}
 	for _, tt := range tests {
@@ -195,12 +193,12 @@
 	}
 }
 
-// Who has come back too late for an answer on time goes after those who can still
-// have one, of whatever urgency.
-func TestLateCallersGoAfterOthers(t *testing.T) {
+// Callers that retry too late for an answer on time have a lower limit than those that can
+// still get one, whatever their priority.
+func TestLateCallersHaveALowerLimit(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
-	g.Answered(time.Hour, false) // next to nothing may wait
+	g.Answered(time.Hour, false) // almost no requests may wait
 	now := time.Unix(1000, 0)
 	r := Request{Class: "a", TargetLatency: 400 * time.Millisecond, Remaining: 10 * time.Second}
 	crowded, room := Load{Running: 89, Slots: 100}, Load{Running: 70, Slots: 100}
@@ -215,8 +213,8 @@
 	is.True(g.Admit(r, crowded, now).Admitted())
 }
 
-// A request may wait for about a third of its target latency: at 100 ms in a slot
-// and a target of 300 ms, about as many as there are slots may wait.
+// A request may wait for about a third of its target latency: at 100 ms in a slot and a target
+// latency of 300 ms, about as many requests as there are slots may wait.
 func TestQueueFollowsTargetLatency(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
@@ -230,13 +228,13 @@
 	is.True(g.Admit(r, Load{Running: 20, Slots: 10}, now).Admitted())
 	is.True(!g.Admit(r, Load{Running: 21, Slots: 10}, now).Admitted())
 	r.Class, r.TargetLatency = "slow", time.Minute
-	is.True(!g.Admit(r, Load{Running: 21, Slots: 10}, now).Admitted()) // the others' limit holds
+	is.True(!g.Admit(r, Load{Running: 21, Slots: 10}, now).Admitted()) // the shortest target latency applies
 	r.Class, r.TargetLatency = "fast", 100*time.Millisecond
 	is.True(!g.Admit(r, Load{Running: 14, Slots: 10}, now).Admitted())
 }
 
-// Callers come back within their time, never at once, and the later the longer
-// the shortage has lasted.
+// The retry delay is within the caller's remaining time, never zero, and grows with the
+// duration of the shortage.
 func TestRetryAfter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -252,7 +250,7 @@
 			t.Fatalf("at once: %v", d.RetryAfter)
 		}
 		lasted := now.Sub(time.Unix(1000, 0))
-		most := min(time.Duration(cfg.MaxRetryPart*float64(left)), 3*max(lasted, cfg.MinRetryAfter)/2)
+		most := min(time.Duration(cfg.MaxRetryFraction*float64(left)), 3*max(lasted, cfg.MinRetryAfter)/2)
 		if d.RetryAfter > max(most, cfg.MinRetryAfter/2) {
 			t.Fatalf("%v after %v with %v left", d.RetryAfter, lasted, left)
 		}
--- a/overload/sim_test.go
+++ b/overload/sim_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// kind is a kind of request of the simulated traffic.
-type kind struct {
+// requestClass is a class of requests of the simulated traffic.
+type requestClass struct {
 	class    string
 	priority int
-	perTick  float64 // arrivals a millisecond over all nodes
+	perTick  float64 // arrivals per millisecond over all nodes
 	work     int     // milliseconds in a slot
 }
 
@@ -20,46 +20,45 @@
 	part func(tick int) float64
 }
 
-// world is a service with a queue in front of its slots, and nodes that see the
-// number of requests there as it was lag milliseconds ago. One tick is one
-// millisecond.
-type world struct {
+// simulation is a service with a queue in front of its slots, and nodes whose count of the
+// requests there is lag milliseconds old. One tick is one millisecond.
+type simulation struct {
 	nodes, slots, lag int
-	kinds             []kind
+	kinds             []requestClass
 	senders           []sender
-	// clump is how many requests come at once to one node, at least 1.
-	clump int
+	// burst is the number of requests that arrive together at one node, at least 1.
+	burst int
 	surge func(tick int) float64
-	// slotsAt, if set, goes before slots.
+	// slotsAt, if set, overrides slots.
 	slotsAt func(tick int) int
 	gated   bool
 }
 
-// result counts requests by class and by workspace.
+// result holds outcomes by class and by workspace; "" is the total.
 type result map[string]*outcome
 
 type outcome struct {
-	asked, admitted, inTime, refused int
-	work                             int // milliseconds of slots for those in time
+	offered, admitted, inTime, refused int
+	work                               int // milliseconds of slots, of requests in time
 }
 
-func (o outcome) served() float64 { return float64(o.inTime) / float64(max(o.asked, 1)) }
+func (o outcome) served() float64 { return float64(o.inTime) / float64(max(o.offered, 1)) }
 
 const (
-	simTarget = 400 * time.Millisecond
-	simLeft   = 10 * time.Second
+	simTarget    = 400 * time.Millisecond
+	simRemaining = 10 * time.Second
 )
 
 type simRequest struct {
-	arrived int
-	kind    kind
-	sender  string
-	node    int
-	queued  bool
+	arrived      int
+	requestClass requestClass
+	sender       string
+	node         int
+	queued       bool
 }
 
-// run plays ticks milliseconds and counts the requests that arrive after from.
-func (w world) run(seed uint64, from, ticks int) result {
+// run simulates ticks milliseconds and counts the requests that arrive after from.
+func (w simulation) run(seed uint64, from, ticks int) result {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
 	gates := make([]*Gate, w.nodes)
@@ -90,8 +89,8 @@
 				Nodes: w.nodes, Age: time.Duration(w.lag) * time.Millisecond,
 			}
 			d := gates[r.node].Admit(Request{
-				Class: r.kind.class, Workspace: r.sender, Priority: r.kind.priority,
-				TargetLatency: simTarget, Remaining: simLeft,
+				Class: r.requestClass.class, Workspace: r.sender, Priority: r.requestClass.priority,
+				TargetLatency: simTarget, Remaining: simRemaining,
 			}, load, now)
 			admitted := !w.gated || d.Admitted()
 			r.queued = d.Queued()
@@ -100,7 +99,7 @@
 				inFlight[r.node]++
 			}
 			out.count(r, tick >= from, func(o *outcome) {
-				o.asked++
+				o.offered++
 				if admitted {
 					o.admitted++
 				} else {
@@ -112,11 +111,11 @@
 			r := queue[0]
 			queue = queue[1:]
 			running = append(running, r)
-			ends[tick+r.kind.work] = append(ends[tick+r.kind.work], r)
+			ends[tick+r.requestClass.work] = append(ends[tick+r.requestClass.work], r)
 			if tick-r.arrived <= int(simTarget.Milliseconds()) {
 				out.count(r, r.arrived >= from, func(o *outcome) {
 					o.inTime++
-					o.work += r.kind.work
+					o.work += r.requestClass.work
 				})
 			}
 		}
@@ -128,7 +127,7 @@
 	if !counted {
 		return
 	}
-	for _, name := range []string{"", r.kind.class, r.sender} {
+	for _, name := range []string{"", r.requestClass.class, r.sender} {
 		if out[name] == nil {
 			out[name] = &outcome{}
 		}
@@ -136,23 +135,23 @@
 	}
 }
 
-// arrivals draws those of one tick: a Poisson number of clumps of each kind.
-func (w world) arrivals(tick int, rng *rand.Rand) []simRequest {
+// arrivals returns the requests of one tick: a Poisson number of bursts of each class.
+func (w simulation) arrivals(tick int, rng *rand.Rand) []simRequest {
 	var out []simRequest
 	for _, k := range w.kinds {
-		clump := max(w.clump, 1)
-		rate := k.perTick * w.surge(tick) / float64(clump)
+		burst := max(w.burst, 1)
+		rate := k.perTick * w.surge(tick) / float64(burst)
 		for at := rng.ExpFloat64(); at < rate; at += rng.ExpFloat64() {
 			node := rng.IntN(w.nodes)
-			for range clump {
-				out = append(out, simRequest{arrived: tick, kind: k, sender: w.draw(tick, rng), node: node})
+			for range burst {
+				out = append(out, simRequest{arrived: tick, requestClass: k, sender: w.drawSender(tick, rng), node: node})
 			}
 		}
 	}
 	return out
 }
 
-func (w world) draw(tick int, rng *rand.Rand) string {
+func (w simulation) drawSender(tick int, rng *rand.Rand) string {
 	total := 0.0
 	for _, s := range w.senders {
 		total += s.part(tick)
--- a/overload/tally.go
+++ b/overload/tally.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// window is the time over which requests are counted: some hundred
-	// requests of a surge at a node, and short beside surges of seconds.
+	// window is the time over which requests are counted: some hundred requests of a surge at a
+	// node, and short compared with surges of seconds.
 	window = 2 * time.Second
-	// buckets is the number of parts of a window.
+	// buckets is the number of buckets of a window.
 	buckets = 4
-	// usualWeight is the weight of a bucket in a workspace's usual share: the
-	// share follows in about 20 s.
-	usualWeight = 1.0 / 40
-	// heldWeight is the weight of the newest time in the mean time that a
-	// request takes its place.
-	heldWeight = 1.0 / 32
+	// usualShareWeight is the weight of a bucket in a workspace's usual share, which adapts in
+	// about 20 s.
+	usualShareWeight = 1.0 / 40
+	// occupancyWeight is the weight of the newest value in a mean duration.
+	occupancyWeight = 1.0 / 32
 )
 
 // tally counts the requests of the last window.
 type tally struct {
-	slot int64 // number of the newest bucket
-	in   [buckets]int
-	out  [buckets]int
+	bucket         int64 // number of the newest bucket
+	admittedCounts [buckets]int
+	rejectedCounts [buckets]int
 }
 
-// roll forgets what is older than the window.
+// roll drops the buckets that are older than the window.
 func (t *tally) roll(now time.Time) {
 	slot := now.UnixNano() / int64(window/buckets)
-	if slot-t.slot >= buckets {
-		*t = tally{slot: slot}
+	if slot-t.bucket >= buckets {
+		*t = tally{bucket: slot}
 		return
 	}
-	for t.slot < slot {
-		t.slot++
-		at := t.slot % buckets
-		t.in[at], t.out[at] = 0, 0
+	for t.bucket < slot {
+		t.bucket++
+		at := t.bucket % buckets
+		t.admittedCounts[at], t.rejectedCounts[at] = 0, 0
 	}
 }
 
-// count adds a request that was admitted or turned away.
+// count adds a request that was admitted or rejected.
 func (t *tally) count(admitted bool) {
-	at := t.slot % buckets
+	at := t.bucket % buckets
 	if admitted {
-		t.in[at]++
+		t.admittedCounts[at]++
 		return
 	}
-	t.out[at]++
+	t.rejectedCounts[at]++
 }
 
-func (t *tally) admitted() int { return sum(t.in) }
+func (t *tally) admitted() int { return sum(t.admittedCounts) }
 
-func (t *tally) offered() int { return sum(t.in) + sum(t.out) }
+func (t *tally) offered() int { return sum(t.admittedCounts) + sum(t.rejectedCounts) }
 
-// share is the part of the requests that was admitted, 1 if there was none.
-func (t *tally) share() float64 {
+// admittedFraction returns the fraction of the requests that were admitted, 1 if there were
+// none.
+func (t *tally) admittedFraction() float64 {
 	offered := t.offered()
 	if offered == 0 {
 		return 1
@@ -71,42 +71,42 @@
 	return n
 }
 
-// class is a kind of request's tally with the longest time that its callers
-// give. Who has been turned away comes back with less.
+// class is the tally of a class of requests, with the longest remaining time seen. A caller
+// that retries after a rejection has less time remaining.
 type class struct {
 	tally
-	longest time.Duration
+	maxRemaining time.Duration
 }
 
-// isLate says whether the caller has waited for over part of the target latency.
+// isLate reports whether the caller has waited for more than the given fraction of the target
+// latency.
 func (c *class) isLate(r Request, part float64) bool {
-	c.longest = max(c.longest, r.Remaining)
+	c.maxRemaining = max(c.maxRemaining, r.Remaining)
 	if r.Remaining <= 0 {
 		return false
 	}
-	return float64(c.longest-r.Remaining) > part*float64(r.TargetLatency)
+	return float64(c.maxRemaining-r.Remaining) > part*float64(r.TargetLatency)
 }
 
-// usage is a workspace's tally with the share of the requests that it usually
-// sends.
+// usage is the tally of a workspace, with its usual share of the requests.
 type usage struct {
 	tally
-	usual   float64
-	samples int
+	usualShare float64
+	samples    int
 }
 
-// roll brings the tally up to date. all must be so already. Each new bucket
-// brings the usual share nearer to the present one, unless the service is short
-// of places: a surge is not to become usual while it harms others.
-func (u *usage) roll(now time.Time, all *tally, full bool) {
-	before := u.slot
+// roll updates the tally; all must be up to date already. Each new bucket moves the usual share
+// towards the current one, unless the service is short of capacity: a surge must not become
+// usual while it affects others.
+func (u *usage) roll(now time.Time, all *tally, inShortage bool) {
+	before := u.bucket
 	u.tally.roll(now)
 	offered := all.offered()
-	if u.slot == before || offered == 0 || full {
+	if u.bucket == before || offered == 0 || inShortage {
 		return
 	}
 	u.samples++
-	u.usual += max(usualWeight, 1/float64(u.samples)) * (float64(u.offered())/float64(offered) - u.usual)
+	u.usualShare += max(usualShareWeight, 1/float64(u.samples)) * (float64(u.offered())/float64(offered) - u.usualShare)
 }
 
 // average is an exponentially weighted mean.
@@ -121,14 +121,14 @@
 		a.mean = v
 		return
 	}
-	a.mean += max(heldWeight, 1/float64(a.samples)) * (v - a.mean)
+	a.mean += max(occupancyWeight, 1/float64(a.samples)) * (v - a.mean)
 }
 
-// rateSpan is the time over which a rate is taken: some requests of a node of a
-// small service, and short beside the start of a surge.
-const rateSpan = 500 * time.Millisecond
+// rateDecay is the time constant of a rate: a node of a small service sees a few requests in
+// that time, and it is short compared with the start of a surge.
+const rateDecay = 500 * time.Millisecond
 
-// rate is a number of events a second; each counts less the older it is.
+// rate is an exponentially decaying number of events per second.
 type rate struct {
 	sum  float64
 	last time.Time
@@ -143,7 +143,7 @@
 	if r.last.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-now.Sub(r.last).Seconds()/rateSpan.Seconds())
+	return r.sum * math.Exp(-now.Sub(r.last).Seconds()/rateDecay.Seconds())
 }
 
-func (r *rate) perSecond(now time.Time) float64 { return r.decayed(now) / rateSpan.Seconds() }
+func (r *rate) perSecond(now time.Time) float64 { return r.decayed(now) / rateDecay.Seconds() }
