--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,11 +1,11 @@
-// Package warmup bounds how often targets that have just started are sent requests. A
-// cold target bears few a second, from all nodes together, and may end when it gets
-// more; each of many nodes sees only what it sends itself at once, and what the others
-// sent by their reports. It is pure: the caller passes the time, and one goroutine at a
-// time may use a Sender.
+// Package warmup limits the rate of requests to targets that have just started (slow start). A
+// cold target can handle only a few requests per second from all nodes together and may end if
+// it gets more. A node counts its own requests at once, but those of the many other nodes only
+// when their reports arrive. The package has no clock and does no I/O: the caller passes the
+// time. A Sender is not safe for concurrent use.
 //
-// It answers targets and whole failure domains that come back at once, which look idle
-// to every node, and keys that get much of the traffic.
+// It handles targets and whole failure domains that come back at once, which look idle to every
+// node, and keys that get a large part of the traffic.
 package warmup
 
 import (
@@ -13,66 +13,66 @@
 	"time"
 )
 
-// Limit is what the cold targets of a service bear. The zero Limit is none.
+// Limit is the load that a cold target of a service can handle. The zero value means no limit.
 type Limit struct {
-	// PerSecond is how many requests a second a cold target bears from all nodes
-	// together, 0 for no limit.
+	// PerSecond is the number of requests per second that a cold target can handle from all
+	// nodes together, 0 for no limit.
 	PerSecond float64
 	// For is how long a target is cold after it starts.
 	For time.Duration
 }
 
-// window is the time over which arrivals are counted.
+// window is the time over which requests are counted.
 const window = time.Second
 
-// buckets is the number of parts of the window.
+// buckets is the number of buckets of the window.
 const buckets = 8
 
-// Sender is one node's share of a cold target. Each node may send a request as often as
-// leaves the target PerSecond of them if all do; the shares of different nodes are due
-// at different times, from the moment on at which the nodes learn of the target. A
-// share is kept until it is used, and no node saves up more than one.
+// Sender is one node's share of a cold target's rate, a token bucket of size 1. If all nodes
+// use their shares, the target gets PerSecond requests in total. The shares of different nodes
+// become due at different times, from the moment the nodes learn of the target. An unused share
+// is kept, but no node accumulates more than one.
 type Sender struct {
-	level float64 // requests that may be sent now, at most 1
-	at    time.Time
+	tokens     float64 // requests that may be sent now, at most 1
+	refilledAt time.Time
 
-	slot int64 // number of the newest bucket
-	sent [buckets]int
+	bucket int64 // number of the newest bucket
+	sent   [buckets]int
 }
 
-// NewSender returns the share of a node. phase, from 0 to 1, is different for each node
-// and target: it is how far the node's first share has come when the target is first
-// seen.
+// NewSender returns the share of a node. phase, from 0 to 1, is the initial fill of the token
+// bucket when the target is first seen. It differs between nodes and targets.
 func NewSender(phase float64, now time.Time) *Sender {
-	return &Sender{level: min(phase, 1), at: now}
+	return &Sender{tokens: min(phase, 1), refilledAt: now}
 }
 
-// May says whether the node may send a request now. nodes is the number of nodes that
-// may send, others is how many requests they sent in the last second, by their reports.
+// May reports whether the node may send a request now. nodes is the number of nodes that may
+// send, others the number of requests that the other nodes sent in the last second, by their
+// reports.
 func (s *Sender) May(l Limit, nodes, others int, now time.Time) bool {
 	s.refill(l, nodes, now)
-	return s.level >= 1 && s.Room(l, others, now) > 0
+	return s.tokens >= 1 && s.Room(l, others, now) > 0
 }
 
-// Room is how many more requests than in the last second the target bears.
+// Room returns how many more requests the target can handle, given those of the last second.
 func (s *Sender) Room(l Limit, others int, now time.Time) int {
 	return max(int(l.PerSecond)-others-s.LastSecond(now), 0)
 }
 
 func (s *Sender) refill(l Limit, nodes int, now time.Time) {
-	s.level += now.Sub(s.at).Seconds() * l.PerSecond / float64(max(nodes, 1))
-	s.level = min(s.level, 1)
-	s.at = now
+	s.tokens += now.Sub(s.refilledAt).Seconds() * l.PerSecond / float64(max(nodes, 1))
+	s.tokens = min(s.tokens, 1)
+	s.refilledAt = now
 }
 
-// Send notes a request that is sent now.
+// Send records a request that is sent now.
 func (s *Sender) Send(now time.Time) {
-	s.level = max(s.level-1, 0)
+	s.tokens = max(s.tokens-1, 0)
 	s.roll(now)
-	s.sent[s.slot%buckets]++
+	s.sent[s.bucket%buckets]++
 }
 
-// LastSecond returns how many requests the node sent in the last second.
+// LastSecond returns the number of requests that the node sent in the last second.
 func (s *Sender) LastSecond(now time.Time) int {
 	s.roll(now)
 	sum := 0
@@ -84,13 +84,13 @@
 
 func (s *Sender) roll(now time.Time) {
 	slot := now.UnixNano() / int64(window/buckets)
-	if slot-s.slot >= buckets {
+	if slot-s.bucket >= buckets {
 		s.sent = [buckets]int{}
-		s.slot = slot
+		s.bucket = slot
 	}
-	for s.slot < slot {
-		s.slot++
-		s.sent[s.slot%buckets] = 0
+	for s.bucket < slot {
+		s.bucket++
+		s.sent[s.bucket%buckets] = 0
 	}
 }
 
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -13,56 +13,56 @@
 
 var large = flag.Bool("large", false, "play 100 seeds of each load")
 
-// hotPart is the part of a kind's requests that the hot key gets.
-const hotPart = 0.28
+// hotKeyFraction is the fraction of a kind's requests that the hot key gets.
+const hotKeyFraction = 0.28
 
-// loads are those of a fleet of so many nodes.
+// loads returns the scenarios for a fleet of the given number of nodes.
 func loads(nodes int) []load {
 	return []load{
-		{name: "one target, which keeps the hot key", nodes: nodes, cold: 1, hot: hotPart, comesBack: true},
-		{name: "a domain, of which one keeps the hot key", nodes: nodes, cold: 15, hot: hotPart, comesBack: true},
+		{name: "one target, which caches the hot key", nodes: nodes, cold: 1, hotFraction: hotKeyFraction, hotKeyReturns: true},
+		{name: "a domain, of which one caches the hot key", nodes: nodes, cold: 15, hotFraction: hotKeyFraction, hotKeyReturns: true},
 		{name: "all", nodes: nodes, cold: simTargets},
-		{name: "all, hot key", nodes: nodes, cold: simTargets, hot: hotPart},
-		{name: "all, hot key after 2 s", nodes: nodes, cold: simTargets, hot: hotPart, hotFrom: 2 * time.Second},
-		{name: "all, hot key, nodes fresh", nodes: nodes, cold: simTargets, hot: hotPart, fresh: true},
-		{name: "all, hot key, a third cut off", nodes: nodes, cold: simTargets, hot: hotPart, cut: 1. / 3},
-		{name: "all, hot key, half killed", nodes: nodes, cold: simTargets, hot: hotPart, killed: 0.5},
+		{name: "all, hot key", nodes: nodes, cold: simTargets, hotFraction: hotKeyFraction},
+		{name: "all, hot key after 2 s", nodes: nodes, cold: simTargets, hotFraction: hotKeyFraction, hotFrom: 2 * time.Second},
+		{name: "all, hot key, nodes just started", nodes: nodes, cold: simTargets, hotFraction: hotKeyFraction, fresh: true},
+		{name: "all, hot key, a third cut off", nodes: nodes, cold: simTargets, hotFraction: hotKeyFraction, cut: 1. / 3},
+		{name: "all, hot key, half killed", nodes: nodes, cold: simTargets, hotFraction: hotKeyFraction, killed: 0.5},
 	}
 }
 
-// sizes are those of fleets in use and of the largest that is planned for.
+// sizes are fleet sizes in use and the largest one supported.
 var sizes = []int{7, 66, 91, 295, 370}
 
-// seeds plays the seeds 1 to n and sums up; broken is the number of seeds with a request
-// over the bound.
-func (l load) seeds(w way, n int) (sum result, broken int) {
+// seeds simulates the seeds 1 to n and returns the total; violations is the number of seeds
+// with a request over the bound.
+func (l load) seeds(w strategy, n int) (sum result, violations int) {
 	all := make([]result, n)
 	var wg sync.WaitGroup
 	for i := range all {
-		wg.Go(func() { all[i] = l.play(w, uint64(i+1)) })
+		wg.Go(func() { all[i] = l.simulate(w, uint64(i+1)) })
 	}
 	wg.Wait()
 	for _, r := range all {
-		sum.asked, sum.arrived, sum.refused = sum.asked+r.asked, sum.arrived+r.arrived, sum.refused+r.refused
-		sum.over, sum.overRate, sum.read = sum.over+r.over, sum.overRate+r.overRate, sum.read+r.read
-		sum.most = max(sum.most, r.most)
-		if r.over > 0 {
-			broken++
+		sum.requests, sum.arrived, sum.refused = sum.requests+r.requests, sum.arrived+r.arrived, sum.refused+r.refused
+		sum.overBound, sum.overRate, sum.promptTokens = sum.overBound+r.overBound, sum.overRate+r.overRate, sum.promptTokens+r.promptTokens
+		sum.peak = max(sum.peak, r.peak)
+		if r.overBound > 0 {
+			violations++
 		}
 	}
-	return sum, broken
+	return sum, violations
 }
 
 func (r result) String() string {
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
-	return fmt.Sprintf("at most %d in a second, %.4f of the arrivals over the bound, %.3f over the rate; "+
-		"%.3f of the requests to cold targets, %.4f refused; 1,000 tokens read %d",
-		r.most, part(r.over, r.arrived), part(r.overRate, r.arrived), part(r.arrived, r.asked), part(r.refused, r.asked), r.read/1000)
+	return fmt.Sprintf("peak %d in a second, %.4f of the arrivals over the bound, %.3f over the rate; "+
+		"%.3f of the requests to cold targets, %.4f refused; %d thousand prompt tokens computed",
+		r.peak, part(r.overBound, r.arrived), part(r.overRate, r.arrived), part(r.arrived, r.requests), part(r.refused, r.requests), r.promptTokens/1000)
 }
 
-// Cold targets and whole domains that come back, with a key that gets much of the
-// traffic: no second brings a target more requests than the bound, whatever the nodes
-// know of each other.
+// Cold targets and whole domains come back, with a key that gets a large part of the traffic.
+// In no second may a target get more requests than the bound, also if nodes lack reports of
+// each other.
 func TestColdTargetsStayWithinTheBound(t *testing.T) {
 	t.Parallel()
 	n := 3
@@ -71,41 +71,43 @@
 	}
 	for _, nodes := range sizes {
 		for _, l := range loads(nodes) {
-			sum, broken := l.seeds(ofPackage, n)
+			sum, violations := l.seeds(currentStrategy, n)
 			t.Logf("%d nodes, %s: %s", nodes, l.name, sum)
-			if broken > 0 {
-				t.Errorf("%d nodes, %s: over the bound with %d of %d seeds", nodes, l.name, broken, n)
+			if violations > 0 {
+				t.Errorf("%d nodes, %s: over the bound for %d of %d seeds", nodes, l.name, violations, n)
 			}
 		}
 	}
 }
 
-// All targets are cold and more requests come than they bear together: nodes without a
-// share spread requests by what the reports leave room for, all until the next reports.
+// All targets are cold and more requests arrive than they can handle together. Nodes without a
+// share then spread requests by the room that the reports leave, all of them until the next
+// reports arrive.
 func TestSurgeOnColdTargetsStaysWithinTheBound(t *testing.T) {
 	t.Parallel()
 	const seeds, surge = 3, 6
 	for _, nodes := range sizes {
 		l := load{name: "all, six times the requests", nodes: nodes, cold: simTargets, surge: surge}
-		sum, broken := l.seeds(ofPackage, seeds)
+		sum, violations := l.seeds(currentStrategy, seeds)
 		t.Logf("%d nodes, %s: %s", nodes, l.name, sum)
-		if broken > 0 {
-			t.Errorf("%d nodes, %s: over the bound with %d of %d seeds", nodes, l.name, broken, seeds)
+		if violations > 0 {
+			t.Errorf("%d nodes, %s: over the bound for %d of %d seeds", nodes, l.name, violations, seeds)
 		}
 	}
 }
 
-// The other ways break the bound where the package's doesn't, or cost more: a few nodes a
-// target keep it, and have prompts read at more targets.
-func TestOtherWaysOfWarmingUp(t *testing.T) {
+// The alternative strategies either exceed the bound where the current one doesn't, or cost
+// more: a few nodes per target keep within it, but more targets have to compute the same
+// prompts.
+func TestAlternativeStrategies(t *testing.T) {
 	t.Parallel()
 	const seeds = 3
 	for _, l := range loads(91) {
-		for _, w := range []way{asBefore, equalShares, steered, fewNodes, ofPackage} {
-			sum, broken := l.seeds(w, seeds)
-			t.Logf("%s, %s: %d of %d seeds over the bound; %s", l.name, w.name, broken, seeds, sum)
-			if l.hot > 0 && broken == 0 && (w == asBefore || w == equalShares || w == steered) {
-				t.Errorf("%s, %s: within the bound, over it was expected", l.name, w.name)
+		for _, w := range []strategy{loadBoundOnly, equalShares, reportsOnly, fewSenders, currentStrategy} {
+			sum, violations := l.seeds(w, seeds)
+			t.Logf("%s, %s: %d of %d seeds over the bound; %s", l.name, w.name, violations, seeds, sum)
+			if l.hotFraction > 0 && violations == 0 && (w == loadBoundOnly || w == equalShares || w == reportsOnly) {
+				t.Errorf("%s, %s: within the bound, expected over it", l.name, w.name)
 			}
 		}
 	}
@@ -113,13 +115,13 @@
 
 var start = time.Unix(1000, 0)
 
-// A node saves up no more than one request, and its share comes at its phase.
-func TestShareIsKeptUntilItIsUsed(t *testing.T) {
+// A node accumulates at most one request, and its first share is due at its phase.
+func TestUnusedShareIsKept(t *testing.T) {
 	is := is.New(t)
 	l := Limit{PerSecond: 10, For: time.Second}
 	s := NewSender(0.5, start)
 	is.True(!s.May(l, 5, 0, start))
-	is.True(s.May(l, 5, 0, start.Add(250*time.Millisecond))) // half of a share at 2 a second
+	is.True(s.May(l, 5, 0, start.Add(250*time.Millisecond))) // half of a share at 2 per second
 	later := start.Add(time.Minute)
 	is.True(s.May(l, 5, 0, later))
 	s.Send(later)
@@ -127,7 +129,7 @@
 	is.True(s.May(l, 5, 0, later.Add(500*time.Millisecond)))
 }
 
-func TestRoomIsWhatTheLastSecondLeaves(t *testing.T) {
+func TestRoomSubtractsTheLastSecond(t *testing.T) {
 	is := is.New(t)
 	l := Limit{PerSecond: 10}
 	s := NewSender(1, start)
@@ -138,8 +140,8 @@
 	is.Equal(s.Room(l, 4, start.Add(2*time.Second)), 6)
 }
 
-// However often it asks, a node sends no more than its share and the one saved up.
-func TestNodeKeepsToItsShare(t *testing.T) {
+// However often it asks, a node sends no more than its share and the one accumulated request.
+func TestNodeStaysWithinItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{PerSecond: float64(rapid.IntRange(1, 50).Draw(t, "per second"))}
 		nodes := rapid.IntRange(1, 400).Draw(t, "nodes")
