--- a/problem/problem.go
+++ b/problem/problem.go
@@ -1,6 +1,6 @@
-// Package problem defines the refusals a caller can receive. Each is an RFC
-// 9457 problem document with two extension members: "reason", a stable code,
-// and "ran", which says whether the request reached a target.
+// Package problem defines the refusals that a caller can receive. Each is an RFC 9457 problem
+// document with extension members, among them "reason", a stable code, and "ran", which states
+// whether a target ran the request.
 package problem
 
 import (
@@ -13,20 +13,21 @@
 // ContentType is the media type of a problem document (RFC 9457).
 const ContentType = "application/problem+json"
 
-// Ran says whether a refused request was run by a target.
+// Ran states whether a target ran a refused request.
 type Ran string
 
-// The three outcomes a refusal may state. RanNo is a promise.
+// The values of Ran. RanNo is a guarantee. RanUnknown means that a target may have run the
+// request.
 const (
 	RanNo      Ran = "no"
 	RanUnknown Ran = "unknown"
 	RanYes     Ran = "yes"
 )
 
-// Reason is the stable code of a refusal; it is also the metric label.
+// Reason is the stable code of a refusal. It is also the value of the metric label.
 type Reason string
 
-// The refusal reasons, with status and remedy in the table below.
+// The refusal reasons. The table below holds the status, title and remedy of each.
 const (
 	BadRequest         Reason = "bad_request"
 	HeadersTooLarge    Reason = "headers_too_large"
@@ -58,17 +59,18 @@
 	Internal           Reason = "internal"
 )
 
-// statusCallerGone is the customary status for a caller that closed its
-// connection; it appears in logs only.
+// statusCallerGone is the conventional, non-standard status for a caller that closed its
+// connection. It appears only in logs.
 const statusCallerGone = 499
 
-type class struct {
+// reasonInfo is the part of a problem document that depends on the reason alone.
+type reasonInfo struct {
 	status int
 	title  string
 	remedy string
 }
 
-var classes = map[Reason]class{
+var reasonInfos = map[Reason]reasonInfo{
 	BadRequest:         {http.StatusBadRequest, "The request is malformed", "Mend the named part of the request and send it again."},
 	HeadersTooLarge:    {http.StatusRequestHeaderFieldsTooLarge, "The header is over the limit", "Send fewer or shorter header fields."},
 	MethodNotAllowed:   {http.StatusMethodNotAllowed, "The resource has no such method", "Use a method listed in Allow."},
@@ -101,14 +103,14 @@
 
 // Reasons returns every refusal reason, in no particular order.
 func Reasons() []Reason {
-	all := make([]Reason, 0, len(classes))
-	for r := range classes {
+	all := make([]Reason, 0, len(reasonInfos))
+	for r := range reasonInfos {
 		all = append(all, r)
 	}
 	return all
 }
 
-// Problem is a refusal. It implements error.
+// Problem is a refusal, encoded as an RFC 9457 problem document. It implements error.
 type Problem struct {
 	Type       string        `json:"type"`
 	Title      string        `json:"title"`
@@ -121,8 +123,7 @@
 	RetryAfter time.Duration `json:"-"`
 }
 
-// apiError is the "error" member by which clients of the OpenAI interface
-// read a refusal.
+// apiError is the "error" member, which clients of the OpenAI interface read.
 type apiError struct {
 	Type      Reason `json:"type"`
 	Code      Reason `json:"code"`
@@ -131,34 +132,37 @@
 	RequestID string `json:"request_id,omitempty"`
 }
 
+// document is the JSON form of a refusal that is the complete response.
 type document struct {
 	*Problem
 	Error apiError `json:"error"`
 }
 
+// eventData is the data of the "error" event of a stream.
 type eventData struct {
 	Error apiError `json:"error"`
 }
 
-// New returns the refusal for a reason. The detail names what is wrong with
-// this request.
+// New returns the refusal for a reason. The detail states what is wrong with this particular
+// request. An unlisted reason gets the status, title and remedy of Internal.
 func New(r Reason, ran Ran, detail string) *Problem {
-	c, ok := classes[r]
+	info, ok := reasonInfos[r]
 	if !ok {
-		c = classes[Internal]
+		info = reasonInfos[Internal]
 	}
 	return &Problem{
 		Type:   "urn:knapweedgw:problem:" + string(r),
-		Title:  c.title,
-		Status: c.status,
+		Title:  info.title,
+		Status: info.status,
 		Detail: detail,
 		Reason: r,
 		Ran:    ran,
-		Remedy: c.remedy,
+		Remedy: info.remedy,
 	}
 }
 
-// After sets the time after which the caller may ask again.
+// After sets the delay before the caller may repeat the request, sent as Retry-After, and
+// returns p.
 func (p *Problem) After(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
@@ -173,10 +177,9 @@
 	return msg + " (remedy: " + p.Remedy + ")"
 }
 
-// Write sends the problem as the whole response. Retry-After is rounded up to
-// whole seconds. X-Should-Retry, which clients of the OpenAI interface heed,
-// forbids them to repeat by themselves what may have been run, unless the problem
-// says when to come back.
+// Write sends the problem as the complete response. Retry-After is rounded up to whole seconds.
+// X-Should-Retry: false keeps clients of the OpenAI interface from automatically repeating a
+// request that a target may have run, unless the problem has a Retry-After.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
@@ -192,8 +195,8 @@
 	_ = json.NewEncoder(w).Encode(document{p, p.apiError()})
 }
 
-// Event returns the problem as a server-sent event named "error", which ends
-// a stream that has begun.
+// Event returns the problem as a server-sent event named "error". It terminates a stream whose
+// response has already begun.
 func (p *Problem) Event() []byte {
 	raw, _ := json.Marshal(eventData{p.apiError()})
 	return append(append([]byte("event: error\ndata: "), raw...), "\n\n"...)
