--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkWhole relays short answers, one at a time.
+// BenchmarkWhole relays short unstreamed responses, one at a time.
 func BenchmarkWhole(b *testing.B) {
 	n := newNode(b, handlers(okTarget()))
 	b.ReportAllocs()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -16,7 +16,7 @@
 	"github.com/knapweedgw/knapweedgw/settings"
 )
 
-// Request and answer headers with a meaning of their own.
+// Request and response headers that the gateway interprets.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -24,26 +24,26 @@
 	HeaderTarget         = "X-Knapweedgw-Target"
 	HeaderPriority       = "Priority"
 	HeaderLastEventID    = "Last-Event-ID"
-	// HeaderRequestTimeout is the caller's deadline in seconds from now; the
-	// time that remains is passed on to the target.
+	// HeaderRequestTimeout is the caller's timeout in seconds. The time that remains is
+	// forwarded to the target.
 	HeaderRequestTimeout = "Request-Timeout"
-	// HeaderResumeHold asks for a stream to be held for that many seconds
-	// after its reader went away.
+	// HeaderResumeHold asks the engine to keep a stream for that many seconds after its reader
+	// disconnected, so that it can be resumed.
 	HeaderResumeHold = "X-Resume-Hold"
-	// HeaderReplayed marks an answer that was kept from an earlier request
-	// with the same Idempotency-Key.
+	// HeaderReplayed marks a stored response to an earlier request with the same
+	// Idempotency-Key.
 	HeaderReplayed = "Idempotency-Replayed"
 )
 
-// HeaderEndpointState says that a target is leaving; HeaderLoadReport holds
-// its load (ORCA). Both go from target to node.
+// HeaderEndpointState announces that a target is about to stop; HeaderLoadReport holds its load
+// in the ORCA format. Both are sent by targets to nodes only.
 const (
 	HeaderEndpointState = "X-Endpoint-State"
 	HeaderLoadReport    = "Endpoint-Load-Metrics"
 	stateLeaving        = "leaving"
 )
 
-// hexBase is the base in which logs show a chat's key.
+// hexBase is the base in which logs show a chat's routing key.
 const hexBase = 16
 
 const (
@@ -51,26 +51,26 @@
 	targetRetryAfter   = time.Second
 )
 
-// call is one caller's request as it passes through the gateway.
+// call is the state of one caller's request in the gateway.
 type call struct {
 	id        string
 	kind      string
 	req       *http.Request
-	w         *answerWriter
+	w         *responseWriter
 	workspace settings.WorkspaceRef
 	settings  *settings.Snapshot
 	chat      uint64 // routing key of the chat, 0 for none
 	base      *log.Logger
-	timeout   time.Duration // the caller's, 0 for none
+	timeout   time.Duration // from Request-Timeout, 0 for none
 	// sent is true once a target may have run the request.
 	sent atomic.Bool
-	// held is the answer of a target that failed the request, to be delivered if
-	// nothing better comes; nil for none.
-	held *heldAnswer
-	// guarded tells what targets the request ended; nil until it is forwarded.
+	// held is a target's own failure response. It is delivered if no later attempt gets a
+	// response; nil for none.
+	held *heldResponse
+	// guarded reports the request's attempts to the quarantine guard; nil until it is forwarded.
 	guarded *guardedRequest
-	// captured is the answer kept for callers that repeat the key; nil
-	// unless the request is claimed.
+	// captured collects the response to store for repeated requests with the same
+	// Idempotency-Key; nil unless the request is claimed.
 	captured *capture
 }
 
@@ -86,7 +86,7 @@
 	}
 	return &call{
 		id: id, kind: kindUnknown, req: r.Request,
-		w:    &answerWriter{ResponseWriter: w.ResponseWriter},
+		w:    &responseWriter{ResponseWriter: w.ResponseWriter},
 		base: g.log,
 	}
 }
@@ -95,7 +95,7 @@
 	if c.settings = g.settings.Snapshot(); c.settings == nil {
 		return problem.New(problem.NoSettings, problem.RanNo, "").After(settingsRetryAfter)
 	}
-	key, _ := bearer(c.req)
+	key, _ := bearerToken(c.req)
 	ws, ok := c.settings.Workspace(key)
 	if !ok {
 		return problem.New(problem.Unauthenticated, problem.RanNo, "")
@@ -104,8 +104,7 @@
 	return nil
 }
 
-// log returns the call's logger. It is built on demand, as most calls log
-// nothing.
+// log returns the call's logger. It is built on demand because most calls log nothing.
 func (c *call) log() *log.Logger {
 	l := c.base.With("request", c.id, "team", c.workspace.Team, "workspace", c.workspace.Name)
 	if c.chat != 0 {
@@ -114,7 +113,7 @@
 	return l
 }
 
-// ran says whether a target may have run the request so far.
+// ran states whether a target may have run the request so far.
 func (c *call) ran() problem.Ran {
 	if c.sent.Load() {
 		return problem.RanUnknown
@@ -122,9 +121,9 @@
 	return problem.RanNo
 }
 
-// workContext is the context of the work at targets. It ends when the caller
-// goes away, unless the request may not be repeated: that is seen through to
-// its end, so that its outcome is known.
+// workContext returns the context of the work at targets. It ends when the caller disconnects,
+// unless the request isn't repeatable: such a request runs to its end, bounded by its own
+// timeout or else by detachedTimeout, so that its outcome is known.
 func (c *call) workContext(repeatable bool) (context.Context, context.CancelFunc) {
 	ctx := c.req.Context()
 	if !repeatable {
@@ -132,7 +131,7 @@
 	}
 	timeout := c.timeout
 	if timeout == 0 && !repeatable {
-		timeout = maxDetached
+		timeout = detachedTimeout
 	}
 	if timeout == 0 {
 		return context.WithCancel(ctx)
@@ -140,8 +139,9 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// maxDetached bounds the work for a caller that may have gone away.
-const maxDetached = 10 * time.Minute
+// detachedTimeout bounds a request that continues after its caller disconnected and that has no
+// timeout of its own.
+const detachedTimeout = 10 * time.Minute
 
 func remaining(ctx context.Context, now time.Time) time.Duration {
 	deadline, ok := ctx.Deadline()
@@ -151,25 +151,25 @@
 	return deadline.Sub(now)
 }
 
-// answerWriter notes what was written of an answer.
-type answerWriter struct {
+// responseWriter tracks what was written of a response.
+type responseWriter struct {
 	http.ResponseWriter
 	wroteHeader  bool
 	wroteProblem bool
-	streaming    bool // the answer is a stream of events
+	streaming    bool // the response is an event stream
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *answerWriter) WriteHeader(status int) {
+func (w *responseWriter) WriteHeader(status int) {
 	w.wroteHeader = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements io.Writer.
-func (w *answerWriter) Write(p []byte) (int, error) {
+func (w *responseWriter) Write(p []byte) (int, error) {
 	w.wroteHeader = true
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap gives http.ResponseController the server's writer.
-func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the server's writer, for http.ResponseController.
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -11,8 +11,8 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// chatRequest is the part of an OpenAI chat completion request that the
-// gateway reads; the body is forwarded as it came.
+// chatRequest is the part of an OpenAI chat completion request that the gateway reads. The body
+// is forwarded unchanged.
 type chatRequest struct {
 	Model          string            `json:"model"`
 	Messages       []json.RawMessage `json:"messages"`
@@ -89,13 +89,13 @@
 	return chat, nil
 }
 
-// openingMessages is the most messages of a chat that hasn't had an answer: the
-// system's and the first caller's.
+// openingMessages is the largest number of messages of a chat without a reply so far: the
+// system's and the caller's first.
 const openingMessages = 2
 
-// chatKey identifies the chat for routing: the caller's chat ID, else its
-// prompt_cache_key, else the chat's opening messages, which stay the same
-// when it returns. Workspaces never share a key.
+// chatKey returns the routing key of a chat, a hash of its workspace and the caller's chat ID.
+// Without a chat ID it uses prompt_cache_key, else the chat's opening messages, which stay the
+// same in later requests of the chat. The same ID in different workspaces gives different keys.
 func chatKey(c *call, chat chatRequest) uint64 {
 	name := c.req.Header.Get(HeaderChatID)
 	if name == "" {
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -12,12 +12,13 @@
 
 const (
 	claimRetryAfter = 2 * time.Second
-	// maxKeptAnswer is the largest answer kept for callers that repeat a
-	// key, in bytes.
-	maxKeptAnswer = 64 << 10
+	// maxStoredResponse is the largest response stored for repeated requests with the same
+	// Idempotency-Key, in bytes.
+	maxStoredResponse = 64 << 10
 )
 
-// serve forwards a request, at most once if it carries an Idempotency-Key.
+// serve forwards a request. A request with an Idempotency-Key is claimed first and run at most
+// once.
 func (g *Gateway) serve(c *call, f forwardRequest) error {
 	key, keyed := idempotencyKey(c.req)
 	if !keyed {
@@ -33,13 +34,12 @@
 		return claimError(err)
 	}
 	if v.State != claims.Granted {
-		return g.answerClaimed(c, v)
+		return g.respondToDuplicate(c, v)
 	}
 	return g.forwardClaimed(c, f, v.Ticket)
 }
 
-// forwardClaimed runs the request once and records how that ended, also if it
-// panics.
+// forwardClaimed runs the request once and records its outcome, also after a panic.
 func (g *Gateway) forwardClaimed(c *call, f forwardRequest, ticket claims.Ticket) error {
 	c.captured = &capture{}
 	defer func() { ticket.Finish(c.claimOutcome()) }()
@@ -50,8 +50,8 @@
 
 func (c *call) claimOutcome() (claims.Outcome, *claims.Answer) {
 	switch {
-	case c.captured.whole:
-		return claims.Ran, c.captured.answer()
+	case c.captured.complete:
+		return claims.Ran, c.captured.response()
 	case c.sent.Load():
 		return claims.Lost, nil
 	default:
@@ -59,8 +59,9 @@
 	}
 }
 
-// answerClaimed answers a request whose key was used before.
-func (g *Gateway) answerClaimed(c *call, v claims.Verdict) error {
+// respondToDuplicate responds to a request whose Idempotency-Key was used before: with the stored
+// response, or with a refusal.
+func (g *Gateway) respondToDuplicate(c *call, v claims.Verdict) error {
 	switch {
 	case v.State == claims.Done && v.Answer != nil:
 		g.metrics.replays.Inc()
@@ -99,13 +100,14 @@
 	return claims.Fingerprint(d.Sum(nil)[:len(claims.Fingerprint{})])
 }
 
-// capture collects an answer up to maxKeptAnswer.
+// capture collects a response of up to maxStoredResponse bytes. Its methods begin, add and end
+// do nothing on a nil capture.
 type capture struct {
 	status      int
 	contentType string
 	body        []byte
 	tooLarge    bool
-	whole       bool
+	complete    bool
 }
 
 func (k *capture) begin(status int, contentType string) {
@@ -118,22 +120,22 @@
 	if k == nil || k.tooLarge {
 		return
 	}
-	if len(k.body)+len(p) > maxKeptAnswer {
+	if len(k.body)+len(p) > maxStoredResponse {
 		k.tooLarge, k.body = true, nil
 		return
 	}
 	k.body = append(k.body, p...)
 }
 
-// end marks the answer as whole.
+// end marks the response as complete.
 func (k *capture) end() {
 	if k != nil {
-		k.whole = true
+		k.complete = true
 	}
 }
 
-// answer returns nil if the answer is too large to keep.
-func (k *capture) answer() *claims.Answer {
+// response returns the captured response, or nil if it is too large to store.
+func (k *capture) response() *claims.Answer {
 	if k.tooLarge {
 		return nil
 	}
--- a/gateway/claim_test.go
+++ b/gateway/claim_test.go
@@ -19,7 +19,7 @@
 type fakeClaimer struct {
 	mu      sync.Mutex
 	records map[claims.Key]*fakeTicket
-	err     error // returned by Claim, unless nil
+	err     error // returned by Claim if not nil
 	expired bool  // tickets are no longer valid
 }
 
@@ -30,7 +30,7 @@
 	state       claims.State
 	finished    int
 	outcome     claims.Outcome
-	answer      *claims.Answer
+	response    *claims.Answer
 }
 
 func newFakeClaimer() *fakeClaimer {
@@ -52,7 +52,7 @@
 	if r.fingerprint != fp {
 		return claims.Verdict{State: claims.Mismatch}, nil
 	}
-	return claims.Verdict{State: r.state, Answer: r.answer, RetryAfter: time.Second}, nil
+	return claims.Verdict{State: r.state, Answer: r.response, RetryAfter: time.Second}, nil
 }
 
 func (r *fakeTicket) Valid() bool {
@@ -65,7 +65,7 @@
 	r.claimer.mu.Lock()
 	defer r.claimer.mu.Unlock()
 	r.finished++
-	r.outcome, r.answer = o, a
+	r.outcome, r.response = o, a
 	switch o {
 	case claims.Ran:
 		r.state = claims.Done
@@ -76,8 +76,8 @@
 	}
 }
 
-// finished waits until the claim for workspace a/wa's key is finished, and returns how,
-// and whether a record is left.
+// finished waits until the claim of key by workspace wa of team a is finished. It returns its
+// outcome and whether the claim is still recorded.
 func (f *fakeClaimer) finished(t *testing.T, key string) (o claims.Outcome, recorded bool) {
 	t.Helper()
 	eventually(t, func() bool {
@@ -95,7 +95,7 @@
 	return o, recorded
 }
 
-const letters = "/services/s/letters"
+const lettersPath = "/services/s/letters"
 
 func TestClaimedOutcomes(t *testing.T) {
 	tests := []struct {
@@ -107,12 +107,12 @@
 		ran     problem.Ran
 		outcome claims.Outcome
 	}{
-		{"answered", letters, []*target{okTarget()}, 200, "", "", claims.Ran},
-		{"the service's own 503", letters, []*target{statusTarget(503)}, 503, "", "", claims.Ran},
-		{"cut", letters, []*target{cutTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
-		{"said not run", letters, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
-		{"no target", letters, nil, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
-		{"chat cut is not repeated", chatPath, []*target{cutTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
+		{"answered", lettersPath, []*target{okTarget()}, 200, "", "", claims.Ran},
+		{"the service's own 503", lettersPath, []*target{statusTarget(503)}, 503, "", "", claims.Ran},
+		{"aborted", lettersPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
+		{"declared not run", lettersPath, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
+		{"no target", lettersPath, nil, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
+		{"aborted chat is not repeated", chatPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
 		{"chat refused, then answered", chatPath, []*target{statusTarget(503), okTarget()}, 200, "", "", claims.Ran},
 		{"chat refused everywhere", chatPath, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
 	}
@@ -123,24 +123,24 @@
 			n := newNode(t, handlers(tt.targets...), withClaimer(claimer))
 			a := n.send(t, "POST", tt.path, keyA, chatBody, HeaderIdempotencyKey, "k")
 			is.Equal(a.status, tt.status)
-			is.True(a.is(tt.reason, tt.ran))
+			is.True(a.isRefusal(tt.reason, tt.ran))
 			eventually(t, n.released)
 			got, recorded := claimer.finished(t, "k")
 			is.Equal(got, tt.outcome)
-			is.Equal(recorded, tt.outcome != claims.NotRun) // a key that ran nothing is free
+			is.Equal(recorded, tt.outcome != claims.NotRun) // without a run the key is free
 		})
 	}
 }
 
-// A repeated key gets the same answer again without a second run.
-func TestClaimedAnswerIsReplayed(t *testing.T) {
+// A repeated key gets the stored response without a second run.
+func TestClaimedResponseIsReplayed(t *testing.T) {
 	is := is.New(t)
 	tg := okTarget()
 	claimer := newFakeClaimer()
 	n := newNode(t, handlers(tg), withClaimer(claimer))
-	first := n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
+	first := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	claimer.finished(t, "k")
-	again := n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
+	again := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.Equal(first.body, again.body)
 	is.Equal(first.header.Get("Content-Type"), again.header.Get("Content-Type"))
 	is.Equal(first.header.Get(HeaderReplayed), "")
@@ -148,7 +148,7 @@
 	is.Equal(tg.count(), 1)
 }
 
-// Keys belong to a workspace: another's same key is another request.
+// Keys are scoped to a workspace: the same key in another workspace is a different request.
 func TestClaimsAreSeparate(t *testing.T) {
 	is := is.New(t)
 	tg := okTarget()
@@ -178,20 +178,21 @@
 			tg := okTarget()
 			claimer := newFakeClaimer()
 			n := newNode(t, handlers(tg), withClaimer(claimer))
-			is.Equal(n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k").status, 200)
+			is.Equal(n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k").status, 200)
 			claimer.finished(t, "k")
 			for _, r := range claimer.records {
-				r.state, r.answer = tt.state, nil
+				r.state, r.response = tt.state, nil
 			}
-			a := n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
+			a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 			is.Equal(a.status, tt.status)
-			is.True(a.is(tt.reason, tt.ran))
-			// Asking again helps while the first is in progress, only then.
+			is.True(a.isRefusal(tt.reason, tt.ran))
+			// Repeating the request is useful only while the first one is in progress. Otherwise
+			// there is no Retry-After, and X-Should-Retry forbids an automatic retry.
 			is.Equal(a.header.Get("Retry-After") != "", tt.state == claims.InProgress)
 			is.Equal(a.header.Get("X-Should-Retry") == "", tt.state == claims.InProgress)
-			other := n.send(t, "POST", letters, keyA, "other", HeaderIdempotencyKey, "k")
+			other := n.send(t, "POST", lettersPath, keyA, "other", HeaderIdempotencyKey, "k")
 			is.Equal(other.status, 422)
-			is.True(other.is(problem.ClaimConflict, problem.RanNo))
+			is.True(other.isRefusal(problem.ClaimConflict, problem.RanNo))
 			is.Equal(tg.count(), 1)
 		})
 	}
@@ -201,55 +202,56 @@
 	is := is.New(t)
 	tg := okTarget()
 	without := newNode(t, handlers(tg))
-	a := without.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
-	is.True(a.is(problem.ClaimsUnavailable, problem.RanNo))
+	a := without.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
 
 	claimer := newFakeClaimer()
 	claimer.err = errors.New("store out")
 	n := newNode(t, handlers(tg), withClaimer(claimer))
-	a = n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
+	a = n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.Equal(a.status, 503)
-	is.True(a.is(problem.ClaimsUnavailable, problem.RanNo))
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
 	is.True(a.header.Get("Retry-After") != "")
 	is.Equal(tg.count(), 0)
 }
 
-// A ticket that lapses before the first byte is sent forbids the run; the
-// check comes after the connection is made.
+// A request isn't sent if its ticket expires before the first byte is sent. The check comes
+// after the connection is established.
 func TestLapsedTicketIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	tg := okTarget()
 	claimer := newFakeClaimer()
 	claimer.expired = true
 	n := newNode(t, handlers(tg, okTarget()), withClaimer(claimer))
-	a := n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
+	a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.Equal(a.status, 503)
-	is.True(a.is(problem.ClaimsUnavailable, problem.RanNo))
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
 	is.Equal(tg.count(), 0)
-	is.Equal(len(n.admitter.requests), 1) // no use in another target
+	is.Equal(len(n.admitter.requests), 1) // isn't retried on another target
 }
 
-// A panic after the send leaves the claim unknown, before it free.
+// A panic after the request was sent records an unknown outcome; a panic before that frees the
+// key.
 func TestClaimSurvivesPanic(t *testing.T) {
 	is := is.New(t)
 	claimer := newFakeClaimer()
 	tg := okTarget()
 	n := newNode(t, handlers(tg), withClaimer(claimer))
 	n.Gateway.loads = panicObserver{}
-	answer := tg.answer
-	tg.answer = func(w http.ResponseWriter, r *http.Request) {
+	handler := tg.handler
+	tg.handler = func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(HeaderLoadReport, `JSON {"named_metrics":{"in_flight":7}}`)
-		answer(w, r)
+		handler(w, r)
 	}
-	a := n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k")
-	is.True(a.is(problem.Internal, problem.RanUnknown))
+	a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
+	is.True(a.isRefusal(problem.Internal, problem.RanUnknown))
 	got, _ := claimer.finished(t, "k")
 	is.Equal(got, claims.Lost)
 	is.True(n.released())
 
 	n.Gateway.admitter = nil
-	a = n.send(t, "POST", letters, keyA, chatBody, HeaderIdempotencyKey, "k2")
-	is.True(a.is(problem.Internal, problem.RanNo))
+	a = n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k2")
+	is.True(a.isRefusal(problem.Internal, problem.RanNo))
 	_, recorded := claimer.finished(t, "k2")
 	is.True(!recorded)
 }
@@ -258,19 +260,19 @@
 
 func (panicObserver) Observe(string, int, time.Time) { panic("observer") }
 
-// A caller that goes away doesn't end a claimed run; the answer is kept.
+// A caller that disconnects doesn't cancel a claimed run, and the response is stored.
 func TestClaimedRunOutlivesCaller(t *testing.T) {
 	is := is.New(t)
 	claimer := newFakeClaimer()
 	finish := make(chan struct{})
 	tg := okTarget()
-	answer := tg.answer
-	tg.answer = func(w http.ResponseWriter, r *http.Request) {
+	handler := tg.handler
+	tg.handler = func(w http.ResponseWriter, r *http.Request) {
 		<-finish
-		answer(w, r)
+		handler(w, r)
 	}
 	n := newNode(t, handlers(tg), withClaimer(claimer))
-	n.leave(t, tg, "POST", chatPath, HeaderIdempotencyKey, "k")
+	n.sendAndDisconnect(t, tg, "POST", chatPath, HeaderIdempotencyKey, "k")
 	close(finish)
 	eventually(t, n.released)
 	got, _ := claimer.finished(t, "k")
@@ -281,7 +283,8 @@
 	is.Equal(tg.count(), 1)
 }
 
-// Keyed calls to a dropped connection are told the truth and stay claimed.
+// A request with a key whose connection the target dropped runs once, however often its caller
+// repeats it.
 func TestClaimedCallIsNeverRepeated(t *testing.T) {
 	is := is.New(t)
 	d := newDroppingTarget(t)
@@ -289,7 +292,7 @@
 	n := newNode(t, nil, withClaimer(claimer))
 	n.admitter.targets = []targets.Target{{ID: "t1", Addr: d.ln.Addr().String()}}
 	for range 3 {
-		n.send(t, "POST", letters, keyA, "", HeaderIdempotencyKey, "k")
+		n.send(t, "POST", lettersPath, keyA, "", HeaderIdempotencyKey, "k")
 	}
 	is.Equal(d.runs.Load(), int32(1))
 }
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -13,17 +13,18 @@
 	dialTimeout        = time.Second
 )
 
-// targetKeepAlive finds a VM that is lost without closing its connections
-// within 11 s; a slow target still acknowledges.
+// targetKeepAlive detects, within 11 s, a VM that disappeared without closing its connections. A
+// slow target isn't affected, since its operating system still acknowledges the probes.
 var targetKeepAlive = net.KeepAliveConfig{
 	Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3,
 }
 
-// clients sends what may be repeated on kept connections, and the rest on a
-// fresh connection each.
+// clients holds the HTTP clients for targets. Repeatable requests use pooled connections. Each
+// other request opens a fresh connection: on a pooled one, net/http's transport may repeat a
+// request by itself.
 type clients struct {
-	kept  *upstream.Client
-	fresh *upstream.Client
+	pooled *upstream.Client
+	fresh  *upstream.Client
 }
 
 func newClients() clients {
@@ -33,12 +34,12 @@
 	}
 	fresh := cfg
 	fresh.Fresh = true
-	return clients{kept: upstream.New(cfg), fresh: upstream.New(fresh)}
+	return clients{pooled: upstream.New(cfg), fresh: upstream.New(fresh)}
 }
 
 func (c clients) forRequest(repeatable bool) *upstream.Client {
 	if repeatable {
-		return c.kept
+		return c.pooled
 	}
 	return c.fresh
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// maxGraces bounds the wait for a balancer that doesn't stop sending: it is at
-// most that many times the grace time.
-const maxGraces = 10
+// maxGracePeriods bounds the drain if the load balancer doesn't stop sending requests: it waits
+// at most this many times the grace period.
+const maxGracePeriods = 10
 
-// Drain implements kernel.Drainer: it fails readiness and asks callers to
-// close their connections. Every request is still served.
+// Drain implements kernel.Drainer. It makes the readiness probe fail and asks callers to close
+// their connections. Requests are still served.
 func (g *Gateway) Drain(context.Context) error {
 	g.draining.Store(true)
-	g.log.Info("gateway drains")
+	g.log.Info("gateway draining")
 	return nil
 }
 
-// Stop implements kernel.Stopper: it serves on until no request has come for
-// the grace time of the balancer, then closes the listener and waits until
-// every request in progress has ended.
+// Stop implements kernel.Stopper. It continues to serve until no request has arrived for the
+// grace period (--drain-grace), in which the load balancer detects the failed readiness probe.
+// Then it closes the listener and waits until every request in progress has ended. It returns
+// ctx's error if ctx ends before that.
 func (g *Gateway) Stop(ctx context.Context) error {
 	begun := time.Now()
 	for {
@@ -32,14 +33,14 @@
 	}
 }
 
-// graceEnd returns when a listener may close whose drain began at begun and
-// whose newest request came at last.
+// graceEnd returns when a listener may close, given that the drain began at begun and the newest
+// request arrived at last.
 func graceEnd(begun, last time.Time, grace time.Duration) time.Time {
 	end := begun.Add(grace)
 	if quiet := last.Add(grace); quiet.After(end) {
 		end = quiet
 	}
-	if limit := begun.Add(maxGraces * grace); end.After(limit) {
+	if limit := begun.Add(maxGracePeriods * grace); end.After(limit) {
 		end = limit
 	}
 	return end
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -15,11 +15,11 @@
 	"github.com/knapweedgw/knapweedgw/config"
 )
 
-// slowEngine streams its first token at once and the rest when told to.
+// slowEngine streams its first token at once and the rest when the returned function is called.
 func slowEngine() (*target, func()) {
 	finish := make(chan struct{})
 	var once sync.Once
-	tg := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	tg := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", eventStream)
 		_, _ = io.WriteString(w, "id: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"<1>\"}}]}\n\n")
 		flush(w)
@@ -29,8 +29,8 @@
 	return tg, func() { once.Do(func() { close(finish) }) }
 }
 
-// A stopping node fails readiness, serves on until the balancer has noticed,
-// and ends no stream and no detached call early.
+// A stopping node fails its readiness probe, continues to serve during the grace period, and
+// ends no stream and no detached request early.
 func TestGracefulStop(t *testing.T) {
 	is := is.New(t)
 	engine, finish := slowEngine()
@@ -43,14 +43,14 @@
 	defer func() { _ = stream.Body.Close() }()
 	r := bufio.NewReader(stream.Body)
 	_, err := r.ReadString('>')
-	is.NoErr(err) // the first token is there
-	n.leave(t, engine, "POST", "/services/s/letters")
+	is.NoErr(err) // the first token has arrived
+	n.sendAndDisconnect(t, engine, "POST", "/services/s/letters")
 
 	is.Equal(n.send(t, "GET", "/readyz", "", "").status, 200)
 	is.NoErr(n.Drain(context.Background()))
 	is.Equal(n.send(t, "GET", "/readyz", "", "").status, 503)
 	a := n.send(t, "GET", "/v1/models", keyA, "")
-	is.Equal(a.status, 200) // served on
+	is.Equal(a.status, 200) // still served
 	is.True(a.closes)
 
 	stopped := make(chan error, 1)
@@ -64,14 +64,14 @@
 	finish()
 	rest, err := io.ReadAll(r)
 	is.NoErr(err)
-	got, whole := tokens("<1>\n" + string(rest))
+	got, complete := tokens("<1>\n" + string(rest))
 	is.Equal(got, "12")
-	is.True(whole)
+	is.True(complete)
 	is.NoErr(<-stopped)
 	is.True(n.released())
 }
 
-// A stop that runs out of time says so.
+// A stop that exceeds its deadline returns the context's error.
 func TestStopDeadline(t *testing.T) {
 	is := is.New(t)
 	engine, finish := slowEngine()
@@ -86,6 +86,7 @@
 	is.Equal(n.Stop(ctx), context.DeadlineExceeded)
 }
 
+// open sends a POST request with keyA and returns the response with its body unread.
 func (n *node) open(t *testing.T, path, body string) *http.Response {
 	t.Helper()
 	req, _ := http.NewRequest("POST", n.url+path, strings.NewReader(body))
@@ -104,7 +105,7 @@
 		"no request since":              {-time.Minute, grace},
 		"a request as it began":         {0, grace},
 		"the balancer notices late":     {3 * grace, 4 * grace},
-		"the balancer never notices":    {20 * grace, maxGraces * grace},
+		"the balancer never notices":    {20 * grace, maxGracePeriods * grace},
 		"a request just before it ends": {grace - 1, 2*grace - 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/truth_test.go
+++ b/gateway/executions_test.go
@@ -15,69 +15,68 @@
 )
 
 // witness counts what targets ran, by the caller's request ID.
-type witness struct {
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (w *witness) run(r *http.Request) {
+func (c *runCounter) run(r *http.Request) {
 	id, _, _ := strings.Cut(r.Header.Get(HeaderRequestID), "~")
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.runs[id]++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runs[id]++
 }
 
-func (w *witness) count(id string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.runs[id]
+func (c *runCounter) count(id string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[id]
 }
 
-// behaviours are what a target may do; those that run the request tell the
-// witness.
-func behaviours(w *witness) []http.HandlerFunc {
+// targetBehaviours returns what targets may do. Those that run the request count it in c.
+func targetBehaviours(c *runCounter) []http.HandlerFunc {
 	return []http.HandlerFunc{
-		func(rw http.ResponseWriter, r *http.Request) { // answers
-			w.run(r)
+		func(rw http.ResponseWriter, r *http.Request) { // responds
+			c.run(r)
 			_, _ = io.WriteString(rw, "{}")
 		},
-		func(_ http.ResponseWriter, r *http.Request) { // runs, then loses the answer
-			w.run(r)
+		func(_ http.ResponseWriter, r *http.Request) { // runs, then closes the connection without a response
+			c.run(r)
 			panic(http.ErrAbortHandler)
 		},
-		func(rw http.ResponseWriter, r *http.Request) { // runs, then cuts the answer
-			w.run(r)
+		func(rw http.ResponseWriter, r *http.Request) { // runs, then truncates the response
+			c.run(r)
 			rw.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(rw, "{")
 			flush(rw)
 			panic(http.ErrAbortHandler)
 		},
-		func(rw http.ResponseWriter, r *http.Request) { // runs, then fails
-			w.run(r)
+		func(rw http.ResponseWriter, r *http.Request) { // runs, then responds with a failure
+			c.run(r)
 			rw.WriteHeader(http.StatusInternalServerError)
 		},
-		func(rw http.ResponseWriter, _ *http.Request) { // says that it ran nothing
+		func(rw http.ResponseWriter, _ *http.Request) { // refuses and states that it ran nothing
 			problem.New(problem.Saturated, problem.RanNo, "").Write(rw)
 		},
 		func(rw http.ResponseWriter, r *http.Request) { // refuses, a service after a partial effect
 			if r.URL.Path != chatPath {
-				w.run(r)
+				c.run(r)
 			}
 			rw.WriteHeader(http.StatusServiceUnavailable)
 		},
-		func(http.ResponseWriter, *http.Request) { // breaks before it runs
+		func(http.ResponseWriter, *http.Request) { // closes the connection before it runs the request
 			panic(http.ErrAbortHandler)
 		},
 	}
 }
 
-// Whatever the targets do, "not run" is true, a request that may not be
-// repeated runs at most once also when its caller repeats its key, and an
-// answer was run.
-func TestTruth(t *testing.T) {
-	w := &witness{runs: make(map[string]int)}
+// Whatever the targets do: a refusal with ran "no" means that no target ran the request, an
+// unrepeatable request runs at most once even if its caller repeats its key, and a request with
+// a successful response was run.
+func TestResponsesMatchExecutions(t *testing.T) {
+	counter := &runCounter{runs: make(map[string]int)}
 	var hs []http.Handler
-	for _, b := range behaviours(w) {
+	for _, b := range targetBehaviours(counter) {
 		hs = append(hs, b)
 	}
 	claimer := newFakeClaimer()
@@ -89,7 +88,7 @@
 		id := fmt.Sprintf("r%d", serial)
 		order := rapid.Permutation(pool).Draw(rt, "order")
 		n.admitter.targets = order[:rapid.IntRange(0, len(order)).Draw(rt, "live")]
-		path := rapid.SampledFrom([]string{chatPath, letters, "/services/s/search"}).Draw(rt, "path")
+		path := rapid.SampledFrom([]string{chatPath, lettersPath, "/services/s/search"}).Draw(rt, "path")
 		header := []string{HeaderRequestID, id}
 		sends := 1
 		keyed := rapid.Bool().Draw(rt, "keyed")
@@ -103,16 +102,16 @@
 			if keyed {
 				claimer.finished(t, id)
 			}
-			runs := w.count(id)
+			runs := counter.count(id)
 			if a.problem.Ran == problem.RanNo && runs != before {
-				rt.Fatalf("told %q, but it was run", a.problem.Detail)
+				rt.Fatalf("refused as not run (%q), but it was run", a.problem.Detail)
 			}
 			if a.status == http.StatusOK && runs == 0 {
-				rt.Fatalf("answered, but not run")
+				rt.Fatalf("successful response, but not run")
 			}
 			before = runs
 		}
-		if (keyed || path == letters) && before > 1 {
+		if (keyed || path == lettersPath) && before > 1 {
 			rt.Fatalf("ran %d times", before)
 		}
 	})
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -23,17 +23,18 @@
 	"github.com/knapweedgw/knapweedgw/upstream"
 )
 
-// forwardRequest is a checked request on its way to a target.
+// forwardRequest is a validated request to be sent to a target.
 type forwardRequest struct {
 	admission  admission.Request
 	method     string
-	path       string // escaped, as the caller sent it
+	path       string // with the caller's escaping
 	query      string
 	body       []byte
-	chat       bool // a chat completion at a model engine
-	stream     bool // the caller asked for a stream
-	repeatable bool
-	// gate is asked right before the first byte is sent; nil for no gate.
+	chat       bool // a chat completion, for a model engine
+	stream     bool // the caller requested a stream
+	repeatable bool // the request may run more than once
+	// gate is called right before the first byte is sent and returns false to prevent sending;
+	// nil for no gate.
 	gate func() bool
 }
 
@@ -42,40 +43,40 @@
 	progress retry.Progress
 	reason   problem.Reason
 	cause    error
-	// answer is the target's own failure answer; nil for none.
-	answer *heldAnswer
+	// response is the target's own failure response, read completely; nil for none.
+	response *heldResponse
 }
 
 func (e *attemptError) Error() string { return string(e.reason) + ": " + e.cause.Error() }
 
-// forward tries targets until one answers or no further attempt is allowed.
+// forward tries targets until one responds or no further attempt is allowed.
 func (g *Gateway) forward(c *call, f forwardRequest) error {
 	ctx, cancel := c.workContext(f.repeatable)
 	defer cancel()
 	g.budget.Request(time.Now())
-	guarded := g.guarded(c, f)
+	guarded := g.newGuardedRequest(c, f)
 	c.guarded = guarded
 	defer guarded.done()
 	for number := 1; ; number++ {
 		if err := guarded.begin(); err != nil {
 			return g.giveUp(ctx, c, err)
 		}
-		resting, rest := g.resting(f.admission.Pool.Pool)
-		asked := f.admission
-		asked.Exclude = slices.Concat(asked.Exclude, resting)
-		grant, err := g.admitter.Acquire(ctx, asked)
+		coolingDown, cooldown := g.coolingDown(f.admission.Pool.Pool)
+		admissionRequest := f.admission
+		admissionRequest.Exclude = slices.Concat(admissionRequest.Exclude, coolingDown)
+		grant, err := g.admitter.Acquire(ctx, admissionRequest)
 		if err != nil {
-			return g.giveUp(ctx, c, afterRest(err, rest))
+			return g.giveUp(ctx, c, withCooldown(err, cooldown))
 		}
-		guarded.sendTo(grant.Target)
+		guarded.startAttempt(grant.Target)
 		fail := g.attempt(ctx, c, f, grant)
-		guarded.note(ctx, fail)
+		guarded.recordAttempt(ctx, fail)
 		guarded.done()
 		if fail == nil {
 			return nil
 		}
-		if fail.answer != nil {
-			c.held = fail.answer
+		if fail.response != nil {
+			c.held = fail.response
 		}
 		verdict := g.decide(ctx, f, number, fail)
 		if verdict != retry.Again {
@@ -103,9 +104,9 @@
 	return verdict
 }
 
-// giveUp ends a request that no further attempt is made for: with the answer of a
-// target that failed it, if there is one, whatever became of later attempts, else with
-// a refusal.
+// giveUp ends a request without a further attempt. If a target responded with a failure, that
+// response is delivered, whatever the result of later attempts; otherwise err is completed to a
+// refusal.
 func (g *Gateway) giveUp(ctx context.Context, c *call, err error) error {
 	if c.held != nil && !c.w.wroteHeader && c.req.Context().Err() == nil {
 		c.held.deliver(c)
@@ -114,9 +115,9 @@
 	return g.refuse(ctx, c, err)
 }
 
-// refuse completes a refusal: whatever it says, a request that an earlier
-// attempt may have run is never reported as not run, nor is its caller advised
-// to repeat it.
+// refuse converts err to a refusal that is consistent with all attempts: if any target may have
+// run the request, the refusal doesn't state "ran": "no" and has no Retry-After, which would
+// advise the caller to repeat the request.
 func (g *Gateway) refuse(ctx context.Context, c *call, err error) error {
 	var p *problem.Problem
 	if !errors.As(err, &p) {
@@ -160,11 +161,11 @@
 	pause.Sleep(ctx, g.backoff.Pause(number, seeded))
 }
 
-// attempt sends the request to one target and relays the answer. While it
-// runs, c.sent is true from the first byte on; a target's word that it ran
-// nothing restores it.
+// attempt sends the request to one target and relays the response. c.sent becomes true before
+// the first byte is sent. Its earlier value is restored if no byte was sent, or if the target
+// states that it ran nothing.
 func (g *Gateway) attempt(ctx context.Context, c *call, f forwardRequest, grant admission.Grant) *attemptError {
-	result := admission.Failed // stays so if relayUnheld aborts a cut answer
+	result := admission.Failed // remains if relayUnbuffered panics on a truncated response
 	defer func() { grant.Release(result) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -177,8 +178,8 @@
 	return fail
 }
 
-// resultOf says what an attempt shows of its target. A caller or deadline that
-// ended the attempt shows nothing.
+// resultOf returns what an attempt reveals about its target, for admission. An attempt ended by
+// its caller or by the deadline reveals nothing.
 func resultOf(ctx context.Context, c *call, fail *attemptError) admission.Result {
 	switch {
 	case ctx.Err() != nil || c.req.Context().Err() != nil:
@@ -210,15 +211,15 @@
 		return &attemptError{progress: progress, reason: problem.TargetFailed, cause: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	g.hear(c, t, resp)
-	if fail := refusedByTarget(f, t, resp); fail != nil {
+	g.processNotices(c, t, resp)
+	if fail := classifyResponse(f, t, resp); fail != nil {
 		return fail
 	}
 	return g.relay(ctx, c, f, t, gen, resp)
 }
 
-// gate marks the request as sent, if its target still wants it and f's own gate lets it
-// pass.
+// gate returns a function that marks the request as sent and returns true, unless the target has
+// meanwhile announced that it is leaving or asked for a cooldown, or f's own gate refuses.
 func (g *Gateway) gate(c *call, f forwardRequest, t targets.Target) func() bool {
 	return func() bool {
 		if !g.notices.maySend(t, time.Now()) {
@@ -232,19 +233,18 @@
 	}
 }
 
-// maxRefusal is how much of a refusal is read to learn whether the request
-// was run.
-const maxRefusal = 64 << 10
+// maxRefusalBody is how much of a refusal's body is parsed for its "ran" member, in bytes.
+const maxRefusalBody = 64 << 10
 
-// refusedByTarget says whether an answer counts as a failed attempt. A model
-// engine answers 429 and 503 before it runs a request. A plain service may do
-// so after a partial effect: its word counts as "not run" only if its answer
-// is a problem document with "ran": "no". What may be repeated is repeated
-// elsewhere; any other answer is the target's own and goes to the caller.
-func refusedByTarget(f forwardRequest, t targets.Target, resp *http.Response) *attemptError {
+// classifyResponse returns an error if a response counts as a failed attempt, else nil. Model
+// engines respond with 429 or 503 only before they run a request. A plain service may respond so
+// after a partial effect, so its refusal counts as "not run" only if the response is a problem
+// document with "ran": "no". A failed attempt of a repeatable request is retried on another
+// target. Any other response is delivered to the caller as the target's own.
+func classifyResponse(f forwardRequest, t targets.Target, resp *http.Response) *attemptError {
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		if f.chat || saysNotRun(resp) {
+		if f.chat || declaresNotRun(resp) {
 			return statusError(retry.Refused, problem.TargetRefused, resp)
 		}
 		if f.repeatable {
@@ -252,7 +252,7 @@
 		}
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
 		if f.repeatable {
-			return failedByTarget(t, resp)
+			return holdFailure(t, resp)
 		}
 	}
 	return nil
@@ -262,13 +262,13 @@
 	return &attemptError{progress: p, reason: reason, cause: errors.Newf("status %d", resp.StatusCode)}
 }
 
-// saysNotRun reads the answer's problem document; the body can be read again
-// afterwards.
-func saysNotRun(resp *http.Response) bool {
+// declaresNotRun reports whether the response is a problem document with "ran": "no". The body
+// can be read again afterwards.
+func declaresNotRun(resp *http.Response) bool {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), problem.ContentType) {
 		return false
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBody))
 	resp.Body = &prefixedBody{io.MultiReader(bytes.NewReader(raw), resp.Body), resp.Body}
 	if err != nil {
 		return false
@@ -289,8 +289,8 @@
 	HeaderPriority, HeaderIdempotencyKey, HeaderChatID,
 }
 
-// targetRequest builds the request for t. It has no GetBody, so that the
-// transport doesn't repeat it.
+// targetRequest builds the request for t. GetBody is nil so that net/http's transport doesn't
+// repeat the request.
 func (g *Gateway) targetRequest(
 	ctx context.Context, c *call, f forwardRequest, t targets.Target, gen generation,
 ) (*http.Request, error) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the node's HTTP front: it checks a caller's request,
-// obtains a place on a target, forwards the request and relays the answer.
+// Package gateway is the node's HTTP interface for callers: it validates a caller's request,
+// obtains a slot on a target from admission, forwards the request and relays the response.
 package gateway
 
 import (
@@ -30,83 +30,84 @@
 const (
 	headerReadTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// callerStall is how long a caller may take nothing of its stream.
-	callerStall = 30 * time.Second
-	// maxHeaderBytes is answered with a problem document; the HTTP server
-	// cuts off what is larger than serverHeaderBytes by itself.
+	// callerWriteTimeout is how long one write of a stream to its caller may block.
+	callerWriteTimeout = 30 * time.Second
+	// A header over maxHeaderBytes is refused with a problem document. The HTTP server itself
+	// rejects a header over serverHeaderBytes.
 	maxHeaderBytes    = 32 << 10
 	serverHeaderBytes = 64 << 10
 )
 
 const (
-	retryFloor        = 0.1 // retries a second without any request
+	retryFloor        = 0.1 // retries per second earned without any request
 	retryBurst        = 10
 	retryMinRemaining = 50 * time.Millisecond
 	retryBaseBackoff  = 20 * time.Millisecond
 	retryMaxBackoff   = time.Second
 )
 
-// SettingsSource gives the settings in force; nil before the first.
+// SettingsSource provides the settings in force, nil before the first ones arrive.
 type SettingsSource interface{ Snapshot() *settings.Snapshot }
 
-// TargetSource gives the current targets.
+// TargetSource provides the current targets.
 type TargetSource interface{ Snapshot() *targets.Snapshot }
 
-// LoadObserver is told the load that a target reports.
+// LoadObserver receives the load that a target reports in a response.
 type LoadObserver interface {
 	Observe(target string, inFlight int, at time.Time)
 }
 
-// LeavingObserver is told that a target said that it is leaving.
+// LeavingObserver is notified when a target announces in a response that it is about to stop.
 type LeavingObserver interface {
 	ObserveLeaving(target string, incarnation int64)
 }
 
-// Gateway serves callers.
+// Gateway accepts callers' HTTP requests and forwards them to targets.
 type Gateway struct {
-	cfg      *config.Node
-	log      *log.Logger
-	registry *prometheus.Registry
-	metrics  *metrics
-	clients  clients
-	budget   *retry.Budget
-	backoff  retry.Backoff
-	stall    time.Duration
-	notices  *notices
+	cfg          *config.Node
+	log          *log.Logger
+	registry     *prometheus.Registry
+	metrics      *metrics
+	clients      clients
+	budget       *retry.Budget
+	backoff      retry.Backoff
+	writeTimeout time.Duration
+	notices      *notices
 
 	settings SettingsSource
 	admitter admission.Admitter
 	guard    *quarantine.Guard
-	claimer  claims.Claimer  // nil if the node has none
-	targets  TargetSource    // nil if the node has none
-	loads    LoadObserver    // nil if the node has none
-	leaving  LeavingObserver // nil if the node has none
+	claimer  claims.Claimer  // nil if the node runs no claims service
+	targets  TargetSource    // nil if the node has no target registry
+	loads    LoadObserver    // nil if admission doesn't take load reports
+	leaving  LeavingObserver // nil if the registry doesn't take announcements
 
 	server   *http.Server
 	addr     string
 	draining atomic.Bool
-	// lastCall is when the newest call began, in Unix nanoseconds.
+	// lastCall is when the newest request arrived, in Unix nanoseconds.
 	lastCall atomic.Int64
 }
 
-// New returns a gateway that will listen on cfg.Listen.
+// New returns a gateway that listens on cfg.Listen once it is started, and registers its metrics
+// with reg.
 func New(cfg *config.Node, l *log.Logger, reg *prometheus.Registry) *Gateway {
 	budget := retry.BudgetConfig{Share: cfg.RetryShare, Floor: retryFloor, Burst: retryBurst}
 	return &Gateway{
 		cfg: cfg, log: l, registry: reg, metrics: newMetrics(reg),
-		clients: newClients(),
-		budget:  retry.NewBudget(budget, time.Now()),
-		backoff: retry.Backoff{Base: retryBaseBackoff, Max: retryMaxBackoff},
-		stall:   callerStall,
-		notices: newNotices(),
+		clients:      newClients(),
+		budget:       retry.NewBudget(budget, time.Now()),
+		backoff:      retry.Backoff{Base: retryBaseBackoff, Max: retryMaxBackoff},
+		writeTimeout: callerWriteTimeout,
+		notices:      newNotices(),
 	}
 }
 
 // ID implements kernel.Service.
 func (g *Gateway) ID() kernel.ID { return ServiceID }
 
-// Provision implements kernel.Provisioner. Claims, targets and the observers
-// are optional.
+// Provision implements kernel.Provisioner. It fails if settings, admission or the quarantine
+// guard are missing. Claims, targets and the observers are optional.
 func (g *Gateway) Provision(k *kernel.Kernel) error {
 	var err error
 	if g.settings, err = kernel.Lookup[SettingsSource](k, settings.ServiceID); err != nil {
@@ -118,10 +119,10 @@
 	if g.guard, err = lookupGuard(k); err != nil {
 		return err
 	}
-	g.claimer = optional[claims.Claimer](k, claims.ServiceID)
-	g.targets = optional[TargetSource](k, targets.ServiceID)
-	g.loads = optional[LoadObserver](k, admission.ServiceID)
-	g.leaving = optional[LeavingObserver](k, targets.ServiceID)
+	g.claimer = lookupOptional[claims.Claimer](k, claims.ServiceID)
+	g.targets = lookupOptional[TargetSource](k, targets.ServiceID)
+	g.loads = lookupOptional[LoadObserver](k, admission.ServiceID)
+	g.leaving = lookupOptional[LeavingObserver](k, targets.ServiceID)
 	return nil
 }
 
@@ -133,12 +134,12 @@
 	return s.Guard(), nil
 }
 
-func optional[T any](k *kernel.Kernel, id kernel.ID) T {
+func lookupOptional[T any](k *kernel.Kernel, id kernel.ID) T {
 	s, _ := kernel.Lookup[T](k, id)
 	return s
 }
 
-// Start implements kernel.Starter: it listens before it returns.
+// Start implements kernel.Starter. The listener is open when it returns.
 func (g *Gateway) Start(context.Context) error {
 	ln, err := net.Listen("tcp", g.cfg.Listen)
 	if err != nil {
@@ -164,5 +165,5 @@
 	}
 }
 
-// Addr is the ip:port on which the started gateway listens.
+// Addr returns the ip:port on which the started gateway listens.
 func (g *Gateway) Addr() string { return g.addr }
--- a/gateway/generation.go
+++ b/gateway/generation.go
@@ -27,12 +27,12 @@
 
 var errNotHeld = errors.New("the engine doesn't hold the stream")
 
-// generation identifies the run of a chat completion at an engine. Its ID is
-// the caller's request ID with a digest of the workspace and a random nonce,
-// so that request IDs of two workspaces, or of two attempts, never meet at an
-// engine, and a workspace can't name another's generation.
+// generation identifies one run of a chat completion at an engine. Its ID is the caller's
+// request ID with a digest of the workspace and a random nonce. So the IDs of different
+// workspaces or attempts never collide at an engine, and a workspace can't address another's
+// generation.
 type generation struct {
-	id     string // X-Request-Id towards the engine
+	id     string // X-Request-Id sent to the engine
 	target string
 	nonce  string
 }
@@ -51,14 +51,15 @@
 	return hex.EncodeToString(sum[:bytes])
 }
 
-// eventPrefix starts the event IDs that callers see; the engine's own event
-// ID follows. It names what a node needs to find the generation.
+// eventPrefix returns the prefix of the event IDs sent to callers; the engine's own event ID
+// follows it. It encodes the nonce and the target, from which any node can find the generation.
 func (gen generation) eventPrefix() string {
 	return base64.RawURLEncoding.EncodeToString([]byte(gen.nonce+"/"+gen.target)) + "."
 }
 
-// parseEventID returns the generation and the engine's event ID that an event
-// ID names. The request ID must be that of the request.
+// parseEventID splits an event ID into the generation and the engine's event ID. The generation
+// only matches an engine's if c has the request ID and the workspace of the original request. It
+// returns false if the ID is malformed.
 func parseEventID(c *call, id string) (generation, int, bool) {
 	prefix, last, ok := strings.Cut(id, ".")
 	offset, err := strconv.Atoi(last)
@@ -76,31 +77,30 @@
 	return generationOf(c, target, nonce), offset, true
 }
 
-// reconnect gives a caller the rest of a stream, whichever node relayed its
-// beginning. It starts no generation: if the engine no longer holds this one,
-// the caller is told so.
+// reconnect relays the rest of a stream, also if another node relayed its beginning. It starts
+// no generation: if the engine no longer holds this one, the caller gets a refusal.
 func (g *Gateway) reconnect(c *call, f forwardRequest) error {
-	gone := problem.New(problem.StreamNotResumable, problem.RanUnknown, "")
+	notResumable := problem.New(problem.StreamNotResumable, problem.RanUnknown, "")
 	gen, offset, ok := parseEventID(c, c.req.Header.Get(HeaderLastEventID))
 	if !ok || !f.stream {
 		return problem.New(problem.BadRequest, problem.RanNo, HeaderLastEventID+" is not an event ID of a stream")
 	}
 	t, ok := g.findTarget(f.admission.Pool.Pool, gen.target)
 	if !ok {
-		return gone
+		return notResumable
 	}
 	ctx, cancel := c.workContext(true)
 	defer cancel()
 	c.sent.Store(true)
 	resp, err := g.resume(ctx, c, f, t, gen, offset)
 	if err != nil {
-		return g.refuse(ctx, c, gone)
+		return g.refuse(ctx, c, notResumable)
 	}
 	g.metrics.resumes.WithLabelValues(resumedByCaller).Inc()
 	s := g.newStream(c, f, t, gen)
 	s.last = offset
 	if fail := s.run(ctx, resp); fail != nil {
-		return g.refuse(ctx, c, gone)
+		return g.refuse(ctx, c, notResumable)
 	}
 	return nil
 }
@@ -117,8 +117,8 @@
 	return targets.Target{}, false
 }
 
-// resume asks the engine for the events of a generation after the one with ID
-// last.
+// resume requests the events of a generation after the one with ID last. It returns errNotHeld
+// if the engine no longer holds the stream.
 func (g *Gateway) resume(
 	ctx context.Context, c *call, f forwardRequest, t targets.Target, gen generation, last int,
 ) (*http.Response, error) {
@@ -127,11 +127,11 @@
 		return nil, err
 	}
 	req.Header.Set(HeaderLastEventID, strconv.Itoa(last))
-	resp, _, err := g.clients.kept.Do(req, nil)
+	resp, _, err := g.clients.pooled.Do(req, nil)
 	if err != nil {
 		return nil, err
 	}
-	g.hear(c, t, resp)
+	g.processNotices(c, t, resp)
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream) {
 		return resp, nil
 	}
@@ -142,11 +142,11 @@
 	return nil, errors.Wrapf(errNotHeld, "status %d", resp.StatusCode)
 }
 
-// resumeHold is how long engines are asked to hold a stream whose reader went
-// away: the caller's wish within the node's limit, else the limit.
+// resumeHold returns how long an engine is asked to hold a stream after its reader disconnected:
+// the caller's X-Resume-Hold, at most --resume-hold, or --resume-hold if the caller sent none.
 func (g *Gateway) resumeHold(c *call) time.Duration {
-	if wish, ok := callerHold(c); ok {
-		return min(wish, g.cfg.ResumeHold)
+	if requested, ok := callerHold(c); ok {
+		return min(requested, g.cfg.ResumeHold)
 	}
 	return g.cfg.ResumeHold
 }
@@ -159,10 +159,9 @@
 	return time.Duration(min(seconds, int(maxRequestTimeout/time.Second))) * time.Second, true
 }
 
-// cancelIfGone cancels the generation of a stream whose caller went away, or
-// whose deadline passed, unless the caller asked for a hold. An engine that
-// was asked to hold a stream doesn't take a closed connection for a
-// cancellation.
+// cancelIfGone cancels the generation of a stream whose caller disconnected or whose deadline
+// passed, unless the caller asked for a hold. An explicit cancellation is needed because an
+// engine that was asked to hold a stream doesn't treat a closed connection as one.
 func (g *Gateway) cancelIfGone(
 	ctx context.Context, c *call, f forwardRequest, t targets.Target, gen generation, p retry.Progress,
 ) {
@@ -181,9 +180,9 @@
 	if err != nil {
 		return
 	}
-	resp, _, err := g.clients.kept.Do(req, nil)
+	resp, _, err := g.clients.pooled.Do(req, nil)
 	if err != nil {
-		c.log().Warn("generation not canceled", "target", t.ID, "err", err)
+		c.log().Warn("generation cancellation failed", "target", t.ID, "err", err)
 		return
 	}
 	_ = resp.Body.Close()
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -58,15 +58,15 @@
 func (f *fakeSettings) ID() kernel.ID                { return settings.ServiceID }
 func (f *fakeSettings) Snapshot() *settings.Snapshot { return f.snap }
 
-// fakeAdmitter grants the first target that was not tried.
+// fakeAdmitter grants the first target that isn't excluded.
 type fakeAdmitter struct {
 	mu       sync.Mutex
 	targets  []targets.Target
-	err      error // returned instead of a grant, unless nil
+	err      error // returned instead of a grant if not nil
 	held     int
 	requests []admission.Request
 	loads    map[string]int
-	results  []admission.Result // of the released places, in order
+	results  []admission.Result // of the released slots, in order of release
 }
 
 func (f *fakeAdmitter) ID() kernel.ID { return admission.ServiceID }
@@ -123,7 +123,7 @@
 func (fakeGuard) ID() kernel.ID              { return gossip.ServiceID }
 func (f fakeGuard) Guard() *quarantine.Guard { return f.guard }
 
-// node is a gateway behind a real HTTP server.
+// node is a gateway with fake services behind a real HTTP server.
 type node struct {
 	*Gateway
 	url      string
@@ -147,7 +147,7 @@
 
 func (claimService) ID() kernel.ID { return claims.ServiceID }
 
-// newNode starts a gateway before targets t1, t2, … with the given handlers.
+// newNode starts a gateway with targets t1, t2, … that run the given handlers.
 func newNode(t testing.TB, handlers []http.Handler, opts ...option) *node {
 	t.Helper()
 	cfg := &config.Node{
@@ -187,21 +187,23 @@
 	return n
 }
 
-// answer is what a caller received.
-type answer struct {
+// response is what a caller received.
+type response struct {
 	status  int
 	header  http.Header
 	body    string
-	err     error // of reading the body
-	closes  bool  // the connection ends with this answer
+	err     error // of the connection or of reading the body
+	closes  bool  // the response closes the connection
 	problem problem.Problem
 }
 
-func (a answer) is(reason problem.Reason, ran problem.Ran) bool {
+// isRefusal reports whether the response is a refusal with this reason and ran.
+func (a response) isRefusal(reason problem.Reason, ran problem.Ran) bool {
 	return a.problem.Reason == reason && a.problem.Ran == ran
 }
 
-func (n *node) send(t *testing.T, method, path, key, body string, header ...string) answer {
+// send sends a request with an API key, if not empty, and pairs of header names and values.
+func (n *node) send(t *testing.T, method, path, key, body string, header ...string) response {
 	t.Helper()
 	req, err := http.NewRequest(method, n.url+path, strings.NewReader(body))
 	if err != nil {
@@ -215,11 +217,11 @@
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	a := answer{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err, closes: resp.Close}
+	a := response{status: resp.StatusCode, header: resp.Header, body: string(raw), err: err, closes: resp.Close}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), problem.ContentType) {
 		if err := json.Unmarshal(bytes.TrimSpace(raw), &a.problem); err != nil {
 			t.Fatal(err)
@@ -228,28 +230,30 @@
 	return a
 }
 
-func (n *node) chat(t *testing.T, body string, header ...string) answer {
+func (n *node) chat(t *testing.T, body string, header ...string) response {
 	t.Helper()
 	return n.send(t, "POST", chatPath, keyA, body, header...)
 }
 
+// released reports whether every granted slot was released.
 func (n *node) released() bool {
 	n.admitter.mu.Lock()
 	defer n.admitter.mu.Unlock()
 	return n.admitter.held == 0
 }
 
+// refused returns the value of refusals_total for a reason.
 func (n *node) refused(r problem.Reason) float64 {
 	return testutil.ToFloat64(n.Gateway.metrics.refusals.WithLabelValues(string(r)))
 }
 
-// target counts what it ran and answers as told.
+// target counts the requests that it received and responds with its handler.
 type target struct {
 	mu      sync.Mutex
 	runs    int
 	headers []http.Header
 	paths   []string
-	answer  http.HandlerFunc
+	handler http.HandlerFunc
 }
 
 func (s *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -259,7 +263,7 @@
 	s.headers = append(s.headers, r.Header)
 	s.paths = append(s.paths, r.RequestURI)
 	s.mu.Unlock()
-	s.answer(w, r)
+	s.handler(w, r)
 }
 
 func (s *target) count() int {
@@ -276,19 +280,19 @@
 }
 
 func okTarget() *target {
-	return &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = io.WriteString(w, `{"ok":true}`)
 	}}
 }
 
 func statusTarget(code int) *target {
-	return &target{answer: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }}
+	return &target{handler: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }}
 }
 
-// cutTarget closes the connection unanswered, after it ran the request.
-func cutTarget() *target {
-	return &target{answer: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }}
+// abortTarget runs the request, then closes the connection without a response.
+func abortTarget() *target {
+	return &target{handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }}
 }
 
 func handlers(ts ...*target) []http.Handler {
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -11,40 +11,41 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// maxHeldFailure is the largest answer of a failed target that is held while the request
-// is repeated, in bytes. Each repeated request in progress holds one; a larger one is
-// delivered as it comes, and the request is not repeated.
+// maxHeldFailure is the largest failure response, in bytes, that is held in memory while the
+// request is retried. Each retried request in progress holds at most one. A larger response is
+// streamed to the caller, and the request isn't retried.
 const maxHeldFailure = 64 << 10
 
-// heldAnswer is a failure answer that was read whole.
-type heldAnswer struct {
+// heldResponse is a failure response that was read completely.
+type heldResponse struct {
 	target targets.Target
 	resp   *http.Response
 	body   []byte
 }
 
-// failedByTarget takes a target's own failure of a request that may be repeated. It
-// returns nil if the answer is to be delivered now; its body can be read again.
-func failedByTarget(t targets.Target, resp *http.Response) *attemptError {
+// holdFailure handles a failure response to a repeatable request. It returns an attempt error
+// that holds the response, or nil if the response is too large to hold and must be delivered
+// now; its body can then be read again.
+func holdFailure(t targets.Target, resp *http.Response) *attemptError {
 	fail := statusError(retry.Sent, problem.TargetFailed, resp)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldFailure+1))
 	if err != nil {
-		return fail // cut off: there is no whole answer
+		return fail // truncated: there is no complete response to hold
 	}
 	if len(body) > maxHeldFailure {
 		resp.Body = &prefixedBody{io.MultiReader(bytes.NewReader(body), resp.Body), resp.Body}
 		return nil
 	}
-	fail.answer = &heldAnswer{target: t, resp: resp, body: body}
+	fail.response = &heldResponse{target: t, resp: resp, body: body}
 	return fail
 }
 
-// deliver writes the answer to the caller.
-func (a *heldAnswer) deliver(c *call) {
+// deliver writes the response to the caller.
+func (a *heldResponse) deliver(c *call) {
 	copyHeader(c.w, a.target, a.resp)
 	if c.req.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
 	c.w.WriteHeader(a.resp.StatusCode)
-	_, _ = c.w.Write(a.body) // a caller that has gone needs it no more
+	_, _ = c.w.Write(a.body) // an error means that the caller disconnected
 }
--- a/gateway/input.go
+++ b/gateway/input.go
@@ -13,7 +13,7 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// Limits of header values in bytes.
+// Limits of header values, in bytes unless they are durations.
 const (
 	maxRequestID      = 128
 	maxIdempotencyKey = 255
@@ -21,7 +21,7 @@
 	maxRequestTimeout = 24 * time.Hour
 )
 
-// checkHeader refuses a header that is too large or has a bad value.
+// checkHeader refuses a header that is too large or has an invalid value, and sets c.timeout.
 func (g *Gateway) checkHeader(c *call) error {
 	h := c.req.Header
 	if headerBytes(h)+len(c.req.RequestURI) > maxHeaderBytes {
@@ -82,7 +82,7 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// readBody reads the whole body within the node's size and time limits.
+// readBody reads the complete body within the limits of --max-body-bytes and --body-timeout.
 func (g *Gateway) readBody(c *call) ([]byte, error) {
 	rc := http.NewResponseController(c.w)
 	_ = rc.SetReadDeadline(time.Now().Add(g.cfg.BodyTimeout))
@@ -103,7 +103,7 @@
 	}
 }
 
-func bearer(r *http.Request) (string, bool) {
+func bearerToken(r *http.Request) (string, bool) {
 	const scheme = "Bearer "
 	h := r.Header.Get("Authorization")
 	if len(h) < len(scheme) || !strings.EqualFold(h[:len(scheme)], scheme) {
@@ -117,8 +117,8 @@
 	return key, key != ""
 }
 
-// priority returns the urgency of a Priority header. As RFC 9218 asks, what
-// can't be read counts as the default.
+// priority returns the urgency of a Priority header, 0 (most urgent) to 7. As RFC 9218 requires,
+// an invalid value counts as the default, 3.
 func priority(h string) int {
 	const defaultUrgency = 3
 	for member := range strings.SplitSeq(h, ",") {
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -26,7 +26,7 @@
 		reason                        problem.Reason
 	}{
 		{"no key", "POST", chatPath, "", chatBody, nil, 401, problem.Unauthenticated},
-		{"key of nobody", "POST", chatPath, "key-x", chatBody, nil, 401, problem.Unauthenticated},
+		{"unknown key", "POST", chatPath, "key-x", chatBody, nil, 401, problem.Unauthenticated},
 		{"malformed JSON", "POST", chatPath, keyA, `{"model":`, nil, 400, problem.BadRequest},
 		{"wrong JSON type", "POST", chatPath, keyA, `{"model":7,"messages":[{}]}`, nil, 400, problem.BadRequest},
 		{"JSON array", "POST", chatPath, keyA, `[]`, nil, 400, problem.BadRequest},
@@ -64,9 +64,9 @@
 			is.Equal(a.problem.Ran, problem.RanNo)
 			is.Equal(a.problem.Status, tt.status)
 			is.True(a.problem.Remedy != "")
-			is.Equal(target.count(), 0)               // nothing was run
-			is.Equal(n.refused(tt.reason), 1.0)       // it is counted
-			is.Equal(n.chat(t, chatBody).status, 200) // the node serves on
+			is.Equal(target.count(), 0)               // no target ran it
+			is.Equal(n.refused(tt.reason), 1.0)       // the refusal is counted
+			is.Equal(n.chat(t, chatBody).status, 200) // the node still serves
 		})
 	}
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// A chat that has had an answer is named as returning to the admitter.
+// A chat that already has a reply is marked as returning in its admission request.
 func TestReturningChat(t *testing.T) {
 	n := newNode(t, handlers(okTarget()))
 	n.chat(t, `{"model":"m","messages":[{"role":"system"},{"role":"user"}]}`)
@@ -111,8 +111,8 @@
 	}
 }
 
-// raw sends text over a connection of its own and returns all that comes back
-// until the node closes it.
+// raw sends text over a separate connection and returns everything received until the node
+// closes it.
 func (n *node) raw(t *testing.T, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
@@ -127,14 +127,14 @@
 	return string(got)
 }
 
-const slowHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + keyA + "\r\n"
+const partialHeader = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + keyA + "\r\n"
 
-// A sender that stops in the middle of its body is refused, and the
-// connection is closed rather than read on.
+// A caller that stalls in the middle of its body is refused, and the connection is closed
+// instead of being read further.
 func TestSlowBody(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, handlers(okTarget()), withConfig(func(c *config.Node) { c.BodyTimeout = 50 * time.Millisecond }))
-	got := n.raw(t, slowHead+"Content-Length: 100\r\n\r\n{")
+	got := n.raw(t, partialHeader+"Content-Length: 100\r\n\r\n{")
 	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(got)), nil)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, http.StatusRequestTimeout)
@@ -145,24 +145,25 @@
 	is.Equal(p.Ran, problem.RanNo)
 }
 
-// A sender that stops in the middle of its header is cut off; net/http sends
+// The connection of a caller that stalls in the middle of its header is closed. net/http sends
 // no status then.
 func TestSlowHeader(t *testing.T) {
 	n := newNode(t, handlers(okTarget()), withConfig(func(c *config.Node) { c.BodyTimeout = 50 * time.Millisecond }))
-	is.New(t).Equal(n.raw(t, slowHead), "")
+	is.New(t).Equal(n.raw(t, partialHeader), "")
 }
 
-// A header that the HTTP server cuts off gets its status too.
+// A header over the limit of the HTTP server itself also gets status 431.
 func TestHugeHeader(t *testing.T) {
 	n := newNode(t, handlers(okTarget()))
-	got := n.raw(t, slowHead+"X: "+strings.Repeat("x", serverHeaderBytes+8<<10)+"\r\n\r\n")
+	got := n.raw(t, partialHeader+"X: "+strings.Repeat("x", serverHeaderBytes+8<<10)+"\r\n\r\n")
 	is.New(t).True(strings.HasPrefix(got, "HTTP/1.1 431 "))
 }
 
-// After one slow body, the deadline doesn't linger on a kept connection.
+// The read deadline of a body is cleared, so that it doesn't expire during a slow response or a
+// later request on the same connection.
 func TestReadDeadlineIsCleared(t *testing.T) {
 	is := is.New(t)
-	slow := &target{answer: func(w http.ResponseWriter, r *http.Request) {
+	slow := &target{handler: func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
 		case <-time.After(150 * time.Millisecond):
@@ -180,7 +181,7 @@
 	n.Gateway.admitter = nil // any call panics
 	a := n.chat(t, chatBody)
 	is.Equal(a.status, 500)
-	is.True(a.is(problem.Internal, problem.RanNo))
+	is.True(a.isRefusal(problem.Internal, problem.RanNo))
 	is.Equal(testutil.ToFloat64(n.Gateway.metrics.panics), 1.0)
 	is.Equal(n.send(t, "GET", "/v1/models", keyA, "").status, 200)
 }
@@ -191,22 +192,22 @@
 	n.settings.snap = nil
 	a := n.chat(t, chatBody)
 	is.Equal(a.status, 503)
-	is.True(a.is(problem.NoSettings, problem.RanNo))
+	is.True(a.isRefusal(problem.NoSettings, problem.RanNo))
 	is.Equal(a.header.Get("Retry-After"), "2")
 }
 
-// Neither API keys nor other headers of callers reach targets, and headers
-// between targets and nodes don't reach callers.
+// Neither API keys nor other headers of callers reach targets, and headers between targets and
+// nodes don't reach callers.
 func TestHeadersAreFiltered(t *testing.T) {
 	is := is.New(t)
 	tg := okTarget()
-	answer := tg.answer
-	tg.answer = func(w http.ResponseWriter, r *http.Request) {
+	handler := tg.handler
+	tg.handler = func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Set-Cookie", "a=b")
 		w.Header().Set("X-Internal", "secret")
 		w.Header().Set(HeaderLoadReport, `JSON {"named_metrics":{"in_flight":7}}`)
 		w.Header().Set(HeaderEndpointState, stateLeaving)
-		answer(w, r)
+		handler(w, r)
 	}
 	n := newNode(t, handlers(tg))
 	a := n.chat(t, chatBody, "Cookie", "c=d", "X-Forwarded-For", "1.2.3.4", "Proxy-Authorization", "x")
@@ -217,11 +218,11 @@
 	for _, name := range []string{"Set-Cookie", "X-Internal", HeaderLoadReport, HeaderEndpointState} {
 		is.Equal(a.header.Get(name), "")
 	}
-	is.Equal(n.admitter.loads["t1"], 7)         // the load report was passed on
-	is.Equal(n.targets.leaving, []string{"t1"}) // and so was the leaving word
+	is.Equal(n.admitter.loads["t1"], 7)         // the load report reached admission
+	is.Equal(n.targets.leaving, []string{"t1"}) // the announcement reached the registry
 }
 
-// The same chat ID in two workspaces makes two routing keys.
+// The same chat ID in two workspaces gives two routing keys.
 func TestChatKeysAreSeparate(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, handlers(okTarget()))
@@ -231,7 +232,7 @@
 	is.True(n.admitter.requests[0].Chat != n.admitter.requests[1].Chat)
 }
 
-// A path reaches the service as the caller escaped it.
+// A path reaches the service with the caller's escaping.
 func TestServicePath(t *testing.T) {
 	tests := map[string]string{
 		"/services/s":                "/",
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -11,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/settings"
 )
 
-func TestLogNamesTheCall(t *testing.T) {
+func TestLogIdentifiesCall(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	c := &call{
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -13,7 +13,9 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// notices are what targets said of themselves to this node.
+// notices records, for each run of a target, what its responses announced to this node: that it
+// is leaving, and cooldowns. A cooldown is the time for which a target asked, by Retry-After, to
+// get no requests. It is safe for concurrent use.
 type notices struct {
 	mu   sync.Mutex
 	book *notice.Book
@@ -29,13 +31,13 @@
 
 func runOf(t targets.Target) notice.Run { return notice.Run{Target: t.ID, Incarnation: t.Incarnation} }
 
-func (n *notices) hear(t targets.Target, said notice.Notice, now time.Time) notice.Change {
-	if said == (notice.Notice{}) {
+func (n *notices) record(t targets.Target, announced notice.Notice, now time.Time) notice.Change {
+	if announced == (notice.Notice{}) {
 		return notice.Change{}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, change := n.book.Hear(runOf(t), said, now, n.rng)
+	_, change := n.book.Hear(runOf(t), announced, now, n.rng)
 	return change
 }
 
@@ -45,15 +47,15 @@
 	return n.book.State(runOf(t)).MaySend(now)
 }
 
-func (n *notices) restFor(t targets.Target, now time.Time) time.Duration {
+func (n *notices) cooldownFor(t targets.Target, now time.Time) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.book.State(runOf(t)).RestFor(now)
 }
 
-// resting returns those of a pool that rest. If no other is left, rest is how much longer
-// the first of them does.
-func (n *notices) resting(pool []targets.Target, now time.Time) (ids []string, rest time.Duration) {
+// coolingDown returns the IDs of the pool's targets in a cooldown. If all others are leaving, or
+// there are none, wait is the time until the first cooldown ends; otherwise it is 0.
+func (n *notices) coolingDown(pool []targets.Target, now time.Time) (ids []string, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.book.Resting(now) {
@@ -65,28 +67,29 @@
 		switch {
 		case left > 0:
 			ids = append(ids, t.ID)
-			if rest == 0 || left < rest {
-				rest = left
+			if wait == 0 || left < wait {
+				wait = left
 			}
 		case !t.Leaving:
 			others = true
 		}
 	}
 	if others {
-		rest = 0
+		wait = 0
 	}
-	return ids, rest
+	return ids, wait
 }
 
-// hear takes what an answer says of its target, before anything is decided on the answer.
-func (g *Gateway) hear(c *call, t targets.Target, resp *http.Response) {
+// processNotices records what a response announces about its target. It runs before the response
+// itself is evaluated.
+func (g *Gateway) processNotices(c *call, t targets.Target, resp *http.Response) {
 	now := time.Now()
 	n := notice.FromHeader(resp.StatusCode, resp.Header, now)
 	n.Leaving = resp.Header.Get(HeaderEndpointState) == stateLeaving
 	if n.Leaving && g.leaving != nil {
 		g.leaving.ObserveLeaving(t.ID, t.Incarnation)
 	}
-	if change := g.notices.hear(t, n, now); change != (notice.Change{}) {
+	if change := g.notices.record(t, n, now); change != (notice.Change{}) {
 		notice.Report(c.log().With("target", t.ID, "incarnation", t.Incarnation, "status", resp.StatusCode), g.metrics.notices, n, change)
 	}
 	if g.loads == nil {
@@ -97,19 +100,20 @@
 	}
 }
 
-// resting returns the targets of a pool that rest, as notices.resting does.
-func (g *Gateway) resting(pool string) (ids []string, rest time.Duration) {
+// coolingDown returns the targets of a pool in a cooldown, as notices.coolingDown does.
+func (g *Gateway) coolingDown(pool string) (ids []string, wait time.Duration) {
 	if g.targets == nil {
 		return nil, 0
 	}
-	return g.notices.resting(g.targets.Snapshot().Pool(pool), time.Now())
+	return g.notices.coolingDown(g.targets.Snapshot().Pool(pool), time.Now())
 }
 
-// afterRest has a caller that found no target come back when the first rest ends.
-func afterRest(err error, rest time.Duration) error {
+// withCooldown sets the Retry-After of a no_target refusal to the time until the first cooldown
+// ends.
+func withCooldown(err error, cooldown time.Duration) error {
 	var p *problem.Problem
-	if rest > 0 && errors.As(err, &p) && p.Reason == problem.NoTarget {
-		return p.After(rest)
+	if cooldown > 0 && errors.As(err, &p) && p.Reason == problem.NoTarget {
+		return p.After(cooldown)
 	}
 	return err
 }
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -11,78 +11,78 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// restingTarget turns requests away and asks for rest.
-func restingTarget(seconds string) *target {
-	return &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+// retryAfterTarget refuses requests with status 503 and a Retry-After.
+func retryAfterTarget(seconds string) *target {
+	return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", seconds)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}}
 }
 
-// Guards against: a target that had turned a node away with 503 and asked it for rest got
-// further requests from that node within that time, by its callers' own interface.
-func TestTargetThatAsksForRestIsLeftAlone(t *testing.T) {
+// Guards against sending a target further requests during its cooldown, that is, before the
+// Retry-After of its 503 response to this node has passed.
+func TestTargetInCooldownGetsNoRequests(t *testing.T) {
 	for name, tt := range map[string]struct{ path, body string }{
 		"a chat":                    {chatPath, chatBody},
 		"a repeatable service call": {"/services/s/search", "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			rests, works := restingTarget("60"), okTarget()
-			n := newNode(t, handlers(rests, works))
+			coolingDown, available := retryAfterTarget("60"), okTarget()
+			n := newNode(t, handlers(coolingDown, available))
 			for range 20 {
 				is.Equal(n.send(t, "POST", tt.path, keyA, tt.body).status, 200)
 			}
-			is.Equal(rests.count(), 1)
-			is.Equal(works.count(), 20)
+			is.Equal(coolingDown.count(), 1)
+			is.Equal(available.count(), 20)
 		})
 	}
-	t.Run("passed on", func(t *testing.T) {
+	t.Run("response passed to the caller", func(t *testing.T) {
 		is := is.New(t)
-		rests, works := restingTarget("60"), okTarget()
-		n := newNode(t, handlers(rests, works))
+		coolingDown, available := retryAfterTarget("60"), okTarget()
+		n := newNode(t, handlers(coolingDown, available))
 		a := n.send(t, "POST", "/services/s/letters", keyA, "x")
 		is.Equal(a.status, 503)
-		is.Equal(a.header.Get("Retry-After"), "60") // the target's own
+		is.Equal(a.header.Get("Retry-After"), "60") // the target's own value
 		is.Equal(n.send(t, "POST", "/services/s/letters", keyA, "x").status, 200)
-		is.Equal(rests.count(), 1)
+		is.Equal(coolingDown.count(), 1)
 	})
-	t.Run("if all rest", func(t *testing.T) {
+	t.Run("all targets in a cooldown", func(t *testing.T) {
 		is := is.New(t)
-		one, two := restingTarget("60"), restingTarget("30")
+		one, two := retryAfterTarget("60"), retryAfterTarget("30")
 		n := newNode(t, handlers(one, two))
 		n.chat(t, chatBody)
 		a := n.chat(t, chatBody)
-		is.True(a.is(problem.NoTarget, problem.RanNo))
+		is.True(a.isRefusal(problem.NoTarget, problem.RanNo))
 		is.True(a.header.Get("Retry-After") == "30" || a.header.Get("Retry-After") == "31")
 		is.Equal(one.count()+two.count(), 2)
 	})
-	t.Run("a later run gets work", func(t *testing.T) {
+	t.Run("a later run of the target gets requests", func(t *testing.T) {
 		is := is.New(t)
-		rests := restingTarget("60")
-		n := newNode(t, handlers(rests))
+		coolingDown := retryAfterTarget("60")
+		n := newNode(t, handlers(coolingDown))
 		n.chat(t, chatBody)
-		is.Equal(rests.count(), 1)
+		is.Equal(coolingDown.count(), 1)
 		n.targets.pool[0].Incarnation++
 		n.admitter.targets[0].Incarnation++
 		n.chat(t, chatBody)
-		is.Equal(rests.count(), 2)
+		is.Equal(coolingDown.count(), 2)
 	})
 }
 
-// Guards against: a request that waited for its place or connection reached a target that
-// had said meanwhile that it leaves or rests.
+// Guards against sending a request to a target that announced, while the request waited for its
+// slot or connection, that it is leaving or asked for a cooldown.
 func TestRequestIsNotSentAfterANotice(t *testing.T) {
-	for name, said := range map[string]notice.Notice{
-		"leaves": {Leaving: true}, "rests": {Rest: time.Minute},
+	for name, announced := range map[string]notice.Notice{
+		"leaving": {Leaving: true}, "cooldown": {Rest: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			first, second := okTarget(), okTarget()
 			n := newNode(t, handlers(first, second))
 			granted := n.admitter.targets[0]
-			n.notices.hear(granted, said, time.Now())
-			n.targets.pool = nil // the owner of the places doesn't know
+			n.notices.record(granted, announced, time.Now())
+			n.targets.pool = nil // admission grants the target although it announced this
 			is.Equal(n.chat(t, chatBody).status, 200)
 			is.Equal(first.count(), 0)
 			is.Equal(second.count(), 1)
--- a/gateway/observer_test.go
+++ b/gateway/observer_test.go
@@ -6,8 +6,8 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// The gateway looks these up by name and does without what it can't use: a
-// changed signature would go unnoticed.
+// The gateway looks up these optional interfaces at run time and treats a service that doesn't
+// implement one as missing. These assertions make a changed signature a compile error.
 var (
 	_ LoadObserver    = (*admission.Service)(nil)
 	_ LeavingObserver = (*targets.Registry)(nil)
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -20,14 +20,14 @@
 )
 
 func notRunTarget() *target {
-	return &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		problem.New(problem.Saturated, problem.RanNo, "").Write(w)
 	}}
 }
 
-// What the caller is told agrees with what the targets ran.
+// The refusal that a caller receives agrees with what the targets ran.
 func TestOutcomes(t *testing.T) {
-	const notice, search, read = "POST /services/s/letters", "POST /services/s/search", "GET /services/s/works"
+	const letter, search, read = "POST /services/s/letters", "POST /services/s/search", "GET /services/s/works"
 	const readOnce, chat = "GET /services/s/notices/1", "POST " + chatPath
 	tests := []struct {
 		name    string
@@ -40,26 +40,26 @@
 	}{
 		{"chat refused, then answered", chat, []*target{statusTarget(503), okTarget()}, 200, "", "", []int{1, 1}},
 		{"chat refused everywhere", chat, []*target{statusTarget(503), statusTarget(429)}, 503, problem.NoTarget, problem.RanNo, []int{1, 1}},
-		{"chat cut, then answered", chat, []*target{cutTarget(), okTarget()}, 200, "", "", []int{1, 1}},
-		{"chat cut, then no target", chat, []*target{cutTarget()}, 503, problem.NoTarget, problem.RanUnknown, []int{1}},
-		{"chat cut, then refused", chat, []*target{cutTarget(), statusTarget(503)}, 503, problem.NoTarget, problem.RanUnknown, []int{1, 1}},
-		{"chat cut at every attempt", chat, []*target{cutTarget(), cutTarget(), cutTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 1, 1, 0}},
+		{"chat aborted, then answered", chat, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
+		{"chat aborted, then no target", chat, []*target{abortTarget()}, 503, problem.NoTarget, problem.RanUnknown, []int{1}},
+		{"chat aborted, then refused", chat, []*target{abortTarget(), statusTarget(503)}, 503, problem.NoTarget, problem.RanUnknown, []int{1, 1}},
+		{"chat aborted at every attempt", chat, []*target{abortTarget(), abortTarget(), abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 1, 1, 0}},
 		{"chat 500, then answered", chat, []*target{statusTarget(500), okTarget()}, 200, "", "", []int{1, 1}},
 		{"chat 500, then no target", chat, []*target{statusTarget(500)}, 500, "", "", []int{1}},
 		{"chat 500, then refused", chat, []*target{statusTarget(500), statusTarget(503)}, 500, "", "", []int{1, 1}},
-		{"read 502, then cut", read, []*target{statusTarget(502), cutTarget(), cutTarget()}, 502, "", "", []int{1, 1, 1}},
+		{"read 502, then aborted", read, []*target{statusTarget(502), abortTarget(), abortTarget()}, 502, "", "", []int{1, 1, 1}},
 		{"read 500, then 504", read, []*target{statusTarget(500), statusTarget(504)}, 504, "", "", []int{1, 1}},
 		{"chat's own 400", chat, []*target{statusTarget(400), okTarget()}, 400, "", "", []int{1, 0}},
-		{"notice cut", notice, []*target{cutTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
-		{"notice's own 503 may follow a partial effect", notice, []*target{statusTarget(503), okTarget()}, 503, "", "", []int{1, 0}},
-		{"notice's own 500", notice, []*target{statusTarget(500), okTarget()}, 500, "", "", []int{1, 0}},
-		{"notice said not run, then answered", notice, []*target{notRunTarget(), okTarget()}, 200, "", "", []int{1, 1}},
-		{"notice said not run everywhere", notice, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, []int{1}},
-		{"marked GET cut", readOnce, []*target{cutTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
-		{"read cut, then answered", read, []*target{cutTarget(), okTarget()}, 200, "", "", []int{1, 1}},
+		{"letter aborted", letter, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
+		{"letter's own 503 may follow a partial effect", letter, []*target{statusTarget(503), okTarget()}, 503, "", "", []int{1, 0}},
+		{"letter's own 500", letter, []*target{statusTarget(500), okTarget()}, 500, "", "", []int{1, 0}},
+		{"letter declared not run, then answered", letter, []*target{notRunTarget(), okTarget()}, 200, "", "", []int{1, 1}},
+		{"letter declared not run everywhere", letter, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, []int{1}},
+		{"unrepeatable GET aborted", readOnce, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
+		{"read aborted, then answered", read, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
 		{"read 503, then answered", read, []*target{statusTarget(503), okTarget()}, 200, "", "", []int{1, 1}},
 		{"read 503, then no target", read, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.RanUnknown, []int{1}},
-		{"marked POST cut, then answered", search, []*target{cutTarget(), okTarget()}, 200, "", "", []int{1, 1}},
+		{"repeatable POST aborted, then answered", search, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 			is.True(n.released())
 			if tt.ran == problem.RanUnknown {
 				is.Equal(a.header.Get("X-Should-Retry"), "false")
-				is.Equal(a.header.Get("Retry-After"), "") // no advice to repeat it
+				is.Equal(a.header.Get("Retry-After"), "") // doesn't advise the caller to repeat it
 			}
 		})
 	}
@@ -96,8 +96,8 @@
 	return method, path, body
 }
 
-// A target that can't be reached ran nothing: also an unrepeatable call goes
-// to the next, without drawing on the retry budget.
+// A target that can't be reached ran nothing, so even an unrepeatable request is sent to the
+// next target, without using the retry budget.
 func TestUnreachableTarget(t *testing.T) {
 	for _, path := range []string{"/services/s/letters", chatPath} {
 		is := is.New(t)
@@ -110,7 +110,7 @@
 		}
 		is.Equal(up.count(), 2*retryBurst)
 		n.admitter.targets = []targets.Target{down}
-		is.True(n.send(t, "POST", path, keyA, chatBody).is(problem.NoTarget, problem.RanNo))
+		is.True(n.send(t, "POST", path, keyA, chatBody).isRefusal(problem.NoTarget, problem.RanNo))
 	}
 }
 
@@ -124,9 +124,9 @@
 	return ln.Addr().String()
 }
 
-// droppingTarget answers the first request on each connection and closes the
-// connection when it reads a second, as a server does whose idle timeout
-// meets a new request. It counts what it read.
+// droppingTarget responds to the first request on each connection and closes the connection when
+// it has read a second, as a server does whose idle timeout coincides with a new request. It
+// counts the requests that it read.
 type droppingTarget struct {
 	ln   net.Listener
 	runs atomic.Int32
@@ -168,13 +168,13 @@
 	}
 }
 
-// net/http's transport repeats a request without a body on a fresh connection
-// if a kept one breaks, when the method is idempotent or an Idempotency-Key is
-// set. A request that may not be repeated must not run twice that way.
+// net/http's transport repeats a request without a body on a fresh connection if a pooled one
+// breaks, when the method is idempotent or an Idempotency-Key is set. A request that isn't
+// repeatable must not run twice that way.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	tests := []struct{ name, method, path, key string }{
 		{"POST with key and no body", "POST", "/services/s/letters", "k"},
-		{"marked GET", "GET", "/services/s/notices/1", ""},
+		{"unrepeatable GET", "GET", "/services/s/notices/1", ""},
 		{"DELETE with key", "DELETE", "/services/s/letters/1", "k"},
 	}
 	for _, tt := range tests {
@@ -184,14 +184,14 @@
 			claimer := newFakeClaimer()
 			n := newNode(t, nil, withClaimer(claimer))
 			n.admitter.targets = []targets.Target{{ID: "t1", Addr: d.ln.Addr().String()}}
-			// A repeatable call leaves a kept connection behind.
+			// A repeatable request leaves a pooled connection.
 			is.Equal(n.send(t, "GET", "/services/s/works", keyA, "").status, 200)
 			var header []string
 			if tt.key != "" {
 				header = []string{HeaderIdempotencyKey, tt.key}
 			}
 			a := n.send(t, tt.method, tt.path, keyA, "", header...)
-			is.True(d.runs.Load() <= 2) // run at most once
+			is.True(d.runs.Load() <= 2) // the second request is run at most once
 			if a.status != 200 {
 				is.Equal(a.problem.Ran, problem.RanUnknown)
 			}
@@ -199,7 +199,7 @@
 	}
 }
 
-// A caller that retries without a budget left gets the truth at once.
+// Without retry budget, a failed request is refused at once, with the outcome of its attempt.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, handlers(statusTarget(503), okTarget()), withConfig(func(c *config.Node) { c.RetryShare = 0 }))
@@ -210,7 +210,7 @@
 			answered++
 			continue
 		}
-		is.True(a.is(problem.RetryBudget, problem.RanNo))
+		is.True(a.isRefusal(problem.RetryBudget, problem.RanNo))
 		is.Equal(a.header.Get("Retry-After"), "1")
 	}
 	is.True(answered >= retryBurst)
@@ -218,56 +218,56 @@
 	is.True(testutil.ToFloat64(n.Gateway.metrics.retries.WithLabelValues(string(problem.TargetRefused))) >= retryBurst)
 }
 
-// hangingTarget runs the request and answers when its context ends.
+// hangingTarget never responds. It closes the returned channel when a request's context ends.
 func hangingTarget() (*target, chan struct{}) {
 	ended := make(chan struct{})
 	var once sync.Once
-	return &target{answer: func(_ http.ResponseWriter, r *http.Request) {
+	return &target{handler: func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		once.Do(func() { close(ended) })
 		panic(http.ErrAbortHandler)
 	}}, ended
 }
 
-// The caller's deadline ends the work, and the target was told of it.
+// The caller's deadline ends the request at the target, and the target receives the deadline.
 func TestDeadline(t *testing.T) {
 	is := is.New(t)
 	tg, ended := hangingTarget()
 	n := newNode(t, handlers(tg))
 	a := n.chat(t, chatBody, HeaderRequestTimeout, "0.2")
 	is.Equal(a.status, 504)
-	is.True(a.is(problem.DeadlineExceeded, problem.RanUnknown))
+	is.True(a.isRefusal(problem.DeadlineExceeded, problem.RanUnknown))
 	is.True(tg.header(0).Get(HeaderRequestTimeout) != "")
 	<-ended
 	is.True(n.released())
 }
 
-// A caller that goes away ends a repeatable call at the target; one that may
-// not be repeated is seen through.
+// A caller that disconnects cancels a repeatable request at the target; an unrepeatable one runs
+// to its end.
 func TestCallerGoesAway(t *testing.T) {
 	is := is.New(t)
 	tg, ended := hangingTarget()
 	n := newNode(t, handlers(tg))
-	n.leave(t, tg, "POST", chatPath)
+	n.sendAndDisconnect(t, tg, "POST", chatPath)
 	<-ended
 	eventually(t, func() bool { return n.refused(problem.CallerGone) == 1 && n.released() })
 
-	var unbroken atomic.Bool
+	var contextAlive atomic.Bool
 	finish := make(chan struct{})
-	once := &target{answer: func(w http.ResponseWriter, r *http.Request) {
+	unrepeatable := &target{handler: func(w http.ResponseWriter, r *http.Request) {
 		<-finish
-		unbroken.Store(r.Context().Err() == nil)
+		contextAlive.Store(r.Context().Err() == nil)
 		_, _ = io.WriteString(w, "{}")
 	}}
-	n = newNode(t, handlers(once))
-	n.leave(t, once, "POST", "/services/s/letters")
+	n = newNode(t, handlers(unrepeatable))
+	n.sendAndDisconnect(t, unrepeatable, "POST", "/services/s/letters")
 	close(finish)
 	eventually(t, n.released)
-	is.True(unbroken.Load())
+	is.True(contextAlive.Load())
 }
 
-// leave sends a request and goes away once the target runs it.
-func (n *node) leave(t *testing.T, tg *target, method, path string, header ...string) {
+// sendAndDisconnect sends a request and disconnects once the target has received it.
+func (n *node) sendAndDisconnect(t *testing.T, tg *target, method, path string, header ...string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -289,7 +289,7 @@
 	<-done
 }
 
-// eventually waits for a state that the node reaches by itself.
+// eventually waits until ok returns true, for about 10 s.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 10_000 {
@@ -301,12 +301,12 @@
 	t.Fatal("state not reached")
 }
 
-// A failure that is too large to hold while another target is tried is delivered whole,
-// and the request is not repeated.
+// A failure response too large to hold while another target is tried is delivered completely,
+// and the request isn't retried.
 func TestLargeFailureIsDelivered(t *testing.T) {
 	const failureSize = 64 << 10
 	is := is.New(t)
-	large := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	large := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = w.Write(make([]byte, 2*failureSize))
 	}}
@@ -319,10 +319,10 @@
 	is.Equal(next.count(), 0)
 }
 
-// A held answer comes with its headers, and says which target gave it.
-func TestHeldFailureIsTheTargetsOwn(t *testing.T) {
+// A held failure response is delivered with its headers and the ID of the target that sent it.
+func TestHeldFailureIsDeliveredUnchanged(t *testing.T) {
 	is := is.New(t)
-	failing := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	failing := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = w.Write([]byte(`{"error":"out of memory"}`))
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -16,33 +16,35 @@
 	"github.com/knapweedgw/knapweedgw/upstream"
 )
 
-// probeWait is the longest that a request waits to learn whether it ended its target: many
-// round trips within a region.
-const probeWait = 50 * time.Millisecond
+// probeTimeout bounds the dial that checks whether a request terminated its target. It allows
+// for many round trips within a region.
+const probeTimeout = 50 * time.Millisecond
 
-// GuardSource has the guard that this node shares with what tells other nodes of it.
+// GuardSource provides the node's quarantine guard, which is shared with the service that
+// exchanges quarantine records with other nodes.
 type GuardSource interface{ Guard() *quarantine.Guard }
 
-// guardedRequest is a request under the guard's eye.
+// guardedRequest reports a request's attempts to the quarantine guard.
 type guardedRequest struct {
 	guard       *quarantine.Guard
 	id          string
 	fingerprint quarantine.Fingerprint
-	// counted says that the guard counts the attempt in progress, which went to target at
-	// sent.
+	// counted is true while the guard counts the attempt in progress, which was sent to target
+	// at sent.
 	counted bool
 	target  targets.Target
 	sent    time.Time
 }
 
-func (g *Gateway) guarded(c *call, f forwardRequest) *guardedRequest {
+func (g *Gateway) newGuardedRequest(c *call, f forwardRequest) *guardedRequest {
 	return &guardedRequest{guard: g.guard, id: c.id, fingerprint: quarantine.Request{
 		Caller: c.workspace.Team + "/" + c.workspace.Name, Method: f.method,
 		Host: f.admission.Pool.Name, URI: f.path + "?" + f.query, Body: f.body,
 	}.Fingerprint()}
 }
 
-// begin asks whether the request may be run. After a nil the caller must call done.
+// begin returns a refusal if the guard forbids the request to run now. After a nil error the
+// caller must call done.
 func (r *guardedRequest) begin() error {
 	if !r.guard.Active() {
 		return nil
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// done ends what begin began; more calls do nothing.
+// done ends the attempt that begin started. Further calls do nothing.
 func (r *guardedRequest) done() {
 	if r.counted {
 		r.counted = false
@@ -67,28 +69,30 @@
 	}
 }
 
-// sendTo begins an attempt.
-func (r *guardedRequest) sendTo(t targets.Target) { r.target, r.sent = t, clock.Steady() }
+// startAttempt records the target and the start time of an attempt.
+func (r *guardedRequest) startAttempt(t targets.Target) { r.target, r.sent = t, clock.Steady() }
 
-// note takes the outcome of an attempt.
-func (r *guardedRequest) note(ctx context.Context, fail *attemptError) {
+// recordAttempt reports the outcome of an attempt to the guard.
+func (r *guardedRequest) recordAttempt(ctx context.Context, fail *attemptError) {
 	switch {
-	case fail == nil || fail.answer != nil:
-		r.completed()
+	case fail == nil || fail.response != nil:
+		r.recordCompleted()
 	case closedByTarget(ctx, fail):
-		r.cut()
+		r.recordDisconnect()
 	}
 }
 
-// completed is for a whole answer.
-func (r *guardedRequest) completed() {
+// recordCompleted reports a complete response.
+func (r *guardedRequest) recordCompleted() {
 	if r.guard.Active() {
 		r.guard.Completed(r.fingerprint)
 	}
 }
 
-// cut is for a connection that the target closed before its answer was whole.
-func (r *guardedRequest) cut() {
+// recordDisconnect handles a connection that the target closed before its response was complete.
+// If the target no longer accepts connections, the request is reported as a suspect of its
+// termination.
+func (r *guardedRequest) recordDisconnect() {
 	closed := clock.Steady()
 	if !refusesConnections(r.target.Addr) {
 		return
@@ -98,8 +102,8 @@
 	r.guard.Ended(r.target.ID, run, []quarantine.Suspect{suspect})
 }
 
-// closedByTarget says whether the target closed the connection of a request that it may
-// have begun to run.
+// closedByTarget reports whether the target closed the connection of a request that it may have
+// begun to run.
 func closedByTarget(ctx context.Context, fail *attemptError) bool {
 	var timeout interface{ Timeout() bool }
 	timedOut := errors.As(fail.cause, &timeout) && timeout.Timeout()
@@ -107,12 +111,12 @@
 		ctx.Err() == nil && !timedOut && !upstream.IsLocal(fail.cause)
 }
 
-// refusesConnections says whether nothing listens at an address any more. That tells the
-// end of a target from a lost answer.
+// refusesConnections reports whether nothing listens at an address any more. This distinguishes
+// a terminated target from one that only lost a response.
 func refusesConnections(addr string) bool {
-	conn, err := net.DialTimeout("tcp", addr, probeWait)
+	conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 	if err == nil {
-		_ = conn.Close() // it only shows that the target lives
+		_ = conn.Close() // only shows that the target is still running
 		return false
 	}
 	return upstream.IsRefused(err)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -15,34 +15,35 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// endingTarget is a target that a request with a certain word in its body ends.
-type endingTarget struct {
+// terminatingTarget is a target that terminates when it receives a request with a certain text
+// in its body.
+type terminatingTarget struct {
 	addr string
 
-	mu     sync.Mutex
-	server *http.Server
-	ends   int
+	mu           sync.Mutex
+	server       *http.Server
+	terminations int
 }
 
-const endingWord = "ends its target"
+const terminatingText = "ends its target"
 
-var endingChat = strings.Replace(chatBody, "hello", endingWord, 1)
+var terminatingChat = strings.Replace(chatBody, "hello", terminatingText, 1)
 
-func (e *endingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a request that is cut off ends nothing
-	if !strings.Contains(string(body), endingWord) {
+func (e *terminatingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body) // an incomplete request doesn't terminate the target
+	if !strings.Contains(string(body), terminatingText) {
 		okTarget().ServeHTTP(w, r)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ends++
+	e.terminations++
 	_ = e.server.Close()
 	panic(http.ErrAbortHandler)
 }
 
-// listen starts the target, again if it has ended.
-func (e *endingTarget) listen(t *testing.T) {
+// listen starts the target, also after it terminated.
+func (e *terminatingTarget) listen(t *testing.T) {
 	t.Helper()
 	ln, err := net.Listen("tcp", e.addr)
 	if err != nil {
@@ -52,32 +53,34 @@
 	e.mu.Lock()
 	e.server = server
 	e.mu.Unlock()
-	go func() { _ = server.Serve(ln) }() // ends with Close
+	go func() { _ = server.Serve(ln) }() // returns after Close
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-func (e *endingTarget) count() int {
+func (e *terminatingTarget) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ends
+	return e.terminations
 }
 
-// restartPause is more than a target takes to start again, as the guard sees it.
-const restartPause = 300 * time.Millisecond
+// restartTime exceeds the time after which the guard counts the next termination of the same
+// target as a separate one.
+const restartTime = 300 * time.Millisecond
 
-// Copies of a request that ends its targets end three of them; then it is refused, with
-// and without an idempotency key, and others are served.
+// Guards against a request that terminates its target taking down one target after another.
+// Three targets are terminated; then the request is refused, and other requests are still
+// served.
 func TestRequestThatEndsItsTargets(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, handlers(okTarget(), okTarget(), okTarget()))
-	var all []*endingTarget
+	var all []*terminatingTarget
 	for i := range n.admitter.targets {
-		e := &endingTarget{addr: freeAddr(t)}
+		e := &terminatingTarget{addr: freeAddr(t)}
 		e.listen(t)
 		n.admitter.targets[i].Addr = e.addr
 		all = append(all, e)
 	}
-	ends := func() (sum int) {
+	terminations := func() (sum int) {
 		for _, e := range all {
 			sum += e.count()
 		}
@@ -89,17 +92,17 @@
 		for i, e := range all {
 			before[i] = e.count()
 		}
-		_ = n.chat(t, endingChat)
-		time.Sleep(restartPause)
+		_ = n.chat(t, terminatingChat)
+		time.Sleep(restartTime)
 		for i, e := range all {
 			if e.count() > before[i] {
 				e.listen(t)
 			}
 		}
 	}
-	is.Equal(ends(), 3)
-	a := n.chat(t, endingChat)
-	is.True(a.is(problem.Quarantined, problem.RanNo))
+	is.Equal(terminations(), 3)
+	a := n.chat(t, terminatingChat)
+	is.True(a.isRefusal(problem.Quarantined, problem.RanNo))
 	is.Equal(a.status, http.StatusServiceUnavailable)
 	is.True(a.header.Get("Retry-After") != "")
 	is.Equal(n.chat(t, chatBody).status, http.StatusOK)
@@ -116,13 +119,14 @@
 	return ln.Addr().String()
 }
 
-// A target that loses its answers and lives has not ended.
+// Guards against quarantining a request because its target closed the connection without a
+// response but is still running.
 func TestLostAnswersQuarantineNothing(t *testing.T) {
 	is := is.New(t)
-	cut := cutTarget()
-	n := newNode(t, handlers(cut))
+	aborting := abortTarget()
+	n := newNode(t, handlers(aborting))
 	for range 5 {
-		is.True(!n.chat(t, chatBody).is(problem.Quarantined, problem.RanNo))
+		is.True(!n.chat(t, chatBody).isRefusal(problem.Quarantined, problem.RanNo))
 	}
-	is.Equal(cut.count(), 5)
+	is.Equal(aborting.count(), 5)
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -15,11 +15,11 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// maxHeldAnswer is how much of an unstreamed answer is read before any of it
-// is delivered, in bytes.
-const maxHeldAnswer = 1 << 20
+// maxBufferedResponse is how much of an unstreamed response is read before any of it is
+// delivered, in bytes.
+const maxBufferedResponse = 1 << 20
 
-// relay copies a target's answer to the caller.
+// relay copies a target's response to the caller.
 func (g *Gateway) relay(
 	ctx context.Context, c *call, f forwardRequest, t targets.Target, gen generation, resp *http.Response,
 ) *attemptError {
@@ -28,22 +28,22 @@
 	case events && f.chat:
 		return g.relayStream(ctx, c, f, t, gen, resp)
 	case events:
-		return g.relayUnheld(c, t, resp, nil)
+		return g.relayUnbuffered(c, t, resp, nil)
 	default:
-		return g.relayWhole(c, f, t, resp)
+		return g.relayBuffered(c, f, t, resp)
 	}
 }
 
-// relayWhole reads the whole answer before it delivers any of it, so that an
-// answer cut short by the target is never taken for a whole one. Answers over
-// maxHeldAnswer are delivered as they come.
-func (g *Gateway) relayWhole(c *call, f forwardRequest, t targets.Target, resp *http.Response) *attemptError {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHeldAnswer+1))
+// relayBuffered reads the complete response before it delivers any of it, so that a response
+// truncated by the target is never delivered as a complete one. Responses over
+// maxBufferedResponse are streamed.
+func (g *Gateway) relayBuffered(c *call, f forwardRequest, t targets.Target, resp *http.Response) *attemptError {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
 		return &attemptError{progress: retry.Sent, reason: problem.TargetFailed, cause: err}
 	}
-	if len(body) > maxHeldAnswer {
-		return g.relayUnheld(c, t, resp, body)
+	if len(body) > maxBufferedResponse {
+		return g.relayUnbuffered(c, t, resp, body)
 	}
 	if f.chat && resp.StatusCode == http.StatusOK && !json.Valid(body) {
 		return &attemptError{progress: retry.Sent, reason: problem.TargetFailed, cause: errors.New("the answer is not JSON")}
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// relayUnheld delivers head and then the rest of the answer as it comes. If
-// the target cuts it, the caller's connection is closed, so that the caller
-// doesn't take the answer for a whole one.
-func (g *Gateway) relayUnheld(c *call, t targets.Target, resp *http.Response, head []byte) *attemptError {
+// relayUnbuffered delivers head and then streams the rest of the response. If the target
+// truncates it, the caller's connection is closed so that the caller doesn't take the response
+// for a complete one.
+func (g *Gateway) relayUnbuffered(c *call, t targets.Target, resp *http.Response, head []byte) *attemptError {
 	copyHeader(c.w, t, resp)
 	if resp.ContentLength >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
@@ -77,8 +77,8 @@
 	}
 	if err != nil && c.req.Context().Err() == nil {
 		g.metrics.refusals.WithLabelValues(string(problem.TargetFailed)).Inc()
-		c.log().Warn("answer cut by target", "target", t.ID, "err", err)
-		c.guarded.cut()
+		c.log().Warn("response truncated by target", "target", t.ID, "err", err)
+		c.guarded.recordDisconnect()
 		panic(http.ErrAbortHandler)
 	}
 	if err == nil {
@@ -96,7 +96,7 @@
 	return len(p), nil
 }
 
-// flushWriter sends each write at once.
+// flushWriter flushes after each write.
 type flushWriter struct {
 	io.Writer
 	rc *http.ResponseController
@@ -110,14 +110,14 @@
 	return n, err
 }
 
-var answerHeaders = []string{
+var responseHeaders = []string{
 	"Cache-Control", "Content-Disposition", "Content-Language", "Content-Range",
 	"Content-Type", "ETag", "Last-Modified", "Location", "Retry-After",
 }
 
-// copyHeader passes on the headers that are meant for callers.
+// copyHeader copies the response headers that are meant for callers and adds the target's ID.
 func copyHeader(w http.ResponseWriter, t targets.Target, resp *http.Response) {
-	for _, name := range answerHeaders {
+	for _, name := range responseHeaders {
 		if v := resp.Header.Get(name); v != "" {
 			w.Header().Set(name, v)
 		}
@@ -132,7 +132,8 @@
 	} `json:"named_metrics"`
 }
 
-// reportedLoad reads the JSON form of a load report.
+// reportedLoad parses the JSON form of a load report and returns the target's requests in
+// flight. It returns false if there is no such value.
 func reportedLoad(h string) (int, bool) {
 	raw, ok := strings.CutPrefix(h, "JSON ")
 	if !ok {
--- a/gateway/result_test.go
+++ b/gateway/result_test.go
@@ -13,15 +13,15 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// Only what a target did itself counts for or against it.
-func TestResults(t *testing.T) {
-	const notice, chat = "POST /services/s/letters", "POST " + chatPath
+// Only what a target itself did counts for or against it in admission.
+func TestAttemptResults(t *testing.T) {
+	const letter, chat = "POST /services/s/letters", "POST " + chatPath
 	const answered, failed = admission.Answered, admission.Failed
 	const unknown, overloaded = admission.Unknown, admission.Overloaded
 	hanging, _ := hangingTarget()
-	half := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", strconv.Itoa(4*maxHeldAnswer))
-		_, _ = io.WriteString(w, strings.Repeat("x", 2*maxHeldAnswer))
+	half := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Length", strconv.Itoa(4*maxBufferedResponse))
+		_, _ = io.WriteString(w, strings.Repeat("x", 2*maxBufferedResponse))
 		panic(http.ErrAbortHandler)
 	}}
 	for _, tt := range []struct {
@@ -33,10 +33,10 @@
 		{"answered", chat, []*target{okTarget()}, []admission.Result{answered}},
 		{"caller's mistake", chat, []*target{statusTarget(400)}, []admission.Result{answered}},
 		{"overloaded", chat, []*target{statusTarget(503), statusTarget(429), okTarget()}, []admission.Result{overloaded, overloaded, answered}},
-		{"cut", chat, []*target{cutTarget(), okTarget()}, []admission.Result{failed, answered}},
+		{"aborted", chat, []*target{abortTarget(), okTarget()}, []admission.Result{failed, answered}},
 		{"failed", chat, []*target{statusTarget(500), okTarget()}, []admission.Result{failed, answered}},
-		{"cut, not repeatable", notice, []*target{cutTarget()}, []admission.Result{failed}},
-		{"cut after a part was delivered", notice, []*target{half}, []admission.Result{failed}},
+		{"aborted, not repeatable", letter, []*target{abortTarget()}, []admission.Result{failed}},
+		{"truncated after a part was delivered", letter, []*target{half}, []admission.Result{failed}},
 		{"deadline", chat, []*target{hanging}, []admission.Result{unknown}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -18,11 +18,11 @@
 
 type endpoint func(c *call, r *restful.Request) error
 
-// Handler returns the routes.
+// Handler returns the HTTP handler for all paths of the gateway.
 func (g *Gateway) Handler() http.Handler {
 	c := restful.NewContainer()
-	// Bodies and answers of any type pass; without this, go-restful refuses
-	// a request that has an Accept header.
+	// Requests and responses may have any content type. Without this, go-restful refuses a
+	// request that has an Accept header.
 	ws := new(restful.WebService).Consumes(anyType).Produces(anyType)
 	ws.Route(ws.POST(chatPath).To(g.route(g.serveChat)))
 	ws.Route(ws.GET("/v1/models").To(g.route(g.serveModels)))
@@ -38,14 +38,12 @@
 	}))
 	c.Add(ws)
 	c.ServiceErrorHandler(g.noRoute)
-	// Dispatch skips the container's ServeMux, which answers an unclean path
-	// with a redirect.
+	// Dispatch bypasses the container's ServeMux, which redirects paths that aren't clean.
 	return http.HandlerFunc(c.Dispatch)
 }
 
-// route turns an endpoint into a restful handler that authenticates the
-// caller, recovers from panics, and writes and counts the refusal an endpoint
-// returns.
+// route returns a restful handler that validates the header, authenticates the caller, calls f,
+// recovers from panics, and writes and counts the refusal that f returns.
 func (g *Gateway) route(f endpoint) restful.RouteFunction {
 	return func(r *restful.Request, w *restful.Response) {
 		g.metrics.inFlight.Inc()
@@ -63,8 +61,9 @@
 	}
 }
 
-// recover turns a panic into a refusal. http.ErrAbortHandler, by which a
-// relay closes the connection of an answer that it can't complete, passes.
+// recover turns a panic into a refusal. It re-panics with http.ErrAbortHandler, which closes the
+// connection, in two cases: if a relay panicked with it because it can't complete its response,
+// and if a response other than a stream had already begun.
 func (g *Gateway) recover(c *call) {
 	v := recover()
 	if v == nil {
@@ -85,12 +84,12 @@
 	}
 }
 
-// finish writes the refusal err, unless the answer has begun: then a stream
-// is ended with an error event.
+// finish counts the call and writes the refusal err. If a stream has already begun, the refusal
+// is its last event; if another response has, nothing is written.
 func (g *Gateway) finish(c *call, err error) {
 	if err == nil {
 		if c.w.streaming {
-			g.limitWrite(c) // the server writes the end of a stream after this
+			g.setWriteDeadline(c) // the server writes the end of the stream after the handler returns
 		}
 		g.metrics.requests.WithLabelValues(c.kind, outcomeAnswered).Inc()
 		return
@@ -108,7 +107,7 @@
 		c.w.wroteProblem = true
 		p.Write(c.w)
 	case c.w.streaming:
-		g.limitWrite(c)
+		g.setWriteDeadline(c)
 		_, _ = c.w.Write(p.Event())
 	}
 }
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -45,15 +45,14 @@
 	})
 }
 
-// callPath is the path of a service call, without the part that names the
-// service.
+// callPath is the path of a service call without /services/ and the service's name.
 type callPath struct {
-	escaped string // as the caller sent it
-	plain   string // unescaped, as the settings' routes are matched
+	escaped string // with the caller's escaping
+	plain   string // unescaped, to match the routes of the settings
 }
 
-// servicePath refuses paths with "." and ".." segments: a service may resolve
-// them to a route that the settings' prefixes don't match.
+// servicePath returns the path to forward. It refuses paths with "." and ".." segments, which a
+// service might resolve to a route that doesn't match the prefix in the settings.
 func servicePath(u *url.URL) (callPath, error) {
 	p := callPath{escaped: afterName(u.EscapedPath()), plain: afterName(u.Path)}
 	for segment := range strings.SplitSeq(p.plain, "/") {
--- a/gateway/sse.go
+++ b/gateway/sse.go
@@ -26,15 +26,15 @@
 
 const (
 	eventContent eventKind = iota
-	eventDone              // the last of a whole stream
-	eventError             // ends a failed stream
+	eventDone              // the last event of a complete stream
+	eventError             // terminates a failed stream
 )
 
 // event is one server-sent event. Its slices are valid until the next read.
 type event struct {
-	raw  []byte // with the closing blank line; IDs carry the reader's prefix
-	data []byte // the first data line's value
-	id   int    // the target's ID, or noID
+	raw  []byte // with the final blank line and the reader's prefix before the ID
+	data []byte // the value of the first data line
+	id   int    // the engine's event ID, or noID
 	kind eventKind
 }
 
@@ -57,12 +57,12 @@
 	errorEvent = []byte("event: error")
 )
 
-// next returns the next whole event. An event that the stream's end cuts off
-// is an error.
+// next returns the next complete event. It returns an error for an event that is truncated by
+// the end of the stream, and errEventTooLarge for one over maxEvent.
 func (er *eventReader) next() (event, error) {
 	ev := event{id: noID}
 	er.buf = er.buf[:0]
-	dataAt, dataEnd := 0, 0
+	dataStart, dataEnd := 0, 0
 	for {
 		start := len(er.buf)
 		line, err := er.line()
@@ -72,22 +72,22 @@
 		switch {
 		case len(line) == 0:
 			ev.raw = er.buf
-			ev.data = er.buf[dataAt:dataEnd]
+			ev.data = er.buf[dataStart:dataEnd]
 			ev.kind = kindOf(ev)
 			return ev, nil
 		case bytes.HasPrefix(line, fieldID):
 			er.rewriteID(&ev, start, bytes.TrimSpace(line[len(fieldID):]))
 		case dataEnd == 0 && bytes.HasPrefix(line, fieldData):
-			dataAt = start + len(fieldData)
-			if dataAt < start+len(line) && er.buf[dataAt] == ' ' {
-				dataAt++
+			dataStart = start + len(fieldData)
+			if dataStart < start+len(line) && er.buf[dataStart] == ' ' {
+				dataStart++
 			}
 			dataEnd = start + len(line)
 		}
 	}
 }
 
-// line appends the next line to the buffer and returns it without its end.
+// line appends the next line to the buffer and returns it without its line ending.
 func (er *eventReader) line() ([]byte, error) {
 	start := len(er.buf)
 	for {
@@ -105,8 +105,8 @@
 	}
 }
 
-// rewriteID puts the prefix before a numeric ID; another ID is dropped, as it
-// couldn't be resumed from.
+// rewriteID inserts the prefix before a numeric ID. It drops any other ID, from which the stream
+// couldn't be resumed.
 func (er *eventReader) rewriteID(ev *event, start int, value []byte) {
 	n, err := strconv.Atoi(string(value))
 	er.buf = er.buf[:start]
@@ -120,7 +120,7 @@
 	er.buf = append(er.buf, '\n')
 }
 
-// buffered says whether more of the stream is at hand.
+// buffered reports whether more of the stream can be read without blocking.
 func (er *eventReader) buffered() bool { return er.r.Buffered() > 0 }
 
 func kindOf(ev event) eventKind {
@@ -134,8 +134,7 @@
 	}
 }
 
-// openingChunk is a completion chunk as far as it tells whether the chunk is
-// empty.
+// openingChunk is the part of a completion chunk that shows whether it has any output.
 type openingChunk struct {
 	Choices []struct {
 		Delta        map[string]json.RawMessage `json:"delta"`
@@ -144,9 +143,8 @@
 	Usage json.RawMessage `json:"usage"`
 }
 
-// isOpening says whether an event announces a stream without any output:
-// comments, and chunks whose delta holds a role and at most empty text. The
-// list is closed: whatever is not known to be empty counts as output.
+// isOpening reports whether an event precedes the output: a comment, or a chunk whose deltas
+// hold a role and at most empty text. Anything not recognized as empty counts as output.
 func isOpening(ev event) bool {
 	if ev.kind != eventContent {
 		return false
@@ -172,7 +170,7 @@
 	return true
 }
 
-// overload codes by which engines refuse a request inside a stream.
+// overloadCodes are the error codes with which engines refuse a request inside a stream.
 var overloadCodes = map[string]bool{
 	"server_is_overloaded": true, "rate_limit_exceeded": true, "slow_down": true,
 }
@@ -184,7 +182,7 @@
 	} `json:"error"`
 }
 
-// isOverload says whether an error event is an engine's refusal for load.
+// isOverload reports whether an error event is an engine's refusal because of overload.
 func isOverload(ev event) bool {
 	var e streamError
 	if ev.kind != eventError || json.Unmarshal(ev.data, &e) != nil {
--- a/gateway/sse_test.go
+++ b/gateway/sse_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// Events are read whole however the stream is divided into reads, with their
-// IDs prefixed; what the end cuts off is never given out.
+// Events are read completely however the stream is split into reads, with their IDs prefixed. An
+// event truncated by the end of the stream is never returned.
 func TestEventReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "events")
@@ -50,7 +50,7 @@
 	is.New(t).True(errors.Is(err, errEventTooLarge))
 }
 
-func TestKinds(t *testing.T) {
+func TestEventKinds(t *testing.T) {
 	tests := []struct {
 		in       string
 		kind     eventKind
--- a/gateway/stall_test.go
+++ b/gateway/stall_test.go
@@ -12,17 +12,17 @@
 	"github.com/knapweedgw/knapweedgw/config"
 )
 
-// What comes after a pause longer than a write to the caller may take is delivered:
-// a burst of events that fills the server's buffer, the event that says why the
-// stream ends, and its end.
-func TestStreamGoesOnAfterALongPause(t *testing.T) {
-	const stall = 200 * time.Millisecond
+// Guards against losing data that follows a pause longer than the write timeout, because the
+// deadline of the write before the pause had expired: a burst of events that fills the server's
+// buffer, the final error event, and the end of the stream.
+func TestStreamContinuesAfterLongPause(t *testing.T) {
+	const writeTimeout = 200 * time.Millisecond
 	event := func(n int) string {
 		return `data: {"choices":[{"delta":{"content":"` + strings.Repeat("x", n) + `"}}]}` + "\n\n"
 	}
 	for _, tt := range []struct {
 		name, then, want string
-		cut              bool
+		abort            bool
 	}{
 		{"a burst", strings.Repeat(event(900), 12) + "data: [DONE]\n\n", "[DONE]", false},
 		{"a failure", "", "event: error", true},
@@ -36,13 +36,13 @@
 				w.Header().Set("Content-Type", eventStream)
 				_, _ = io.WriteString(w, event(1))
 				w.(http.Flusher).Flush()
-				time.Sleep(2 * stall)
+				time.Sleep(2 * writeTimeout)
 				_, _ = io.WriteString(w, tt.then)
-				if tt.cut {
+				if tt.abort {
 					panic(http.ErrAbortHandler)
 				}
 			})}, withConfig(func(c *config.Node) { c.StreamHold = 0 }))
-			n.stall = stall
+			n.writeTimeout = writeTimeout
 			resp := n.open(t, chatPath, streamReq)
 			defer func() { _ = resp.Body.Close() }()
 			body, err := io.ReadAll(resp.Body)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,34 +15,33 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// Bounds of the opening events held back, besides the node's --stream-hold.
+// Bounds of the opening events that are held back, besides --stream-hold.
 const (
 	maxHeldEvents = 8
 	maxHeldBytes  = 8 << 10
 )
 
-// Bounds of the resumption of a cut stream: how long its engine may be out of
-// reach, and how often the stream may be cut again without a new event.
+// Bounds of the resumption of an interrupted stream: how long its engine may be unreachable, and
+// how many consecutive connections may bring no new event.
 const (
-	resumePatience = 5 * time.Second
-	maxBarren      = 5
+	resumeTimeout = 5 * time.Second
+	maxEmptyConns = 5
 )
 
-var errGap = errors.New("the engine skipped an event")
+var errMissingEvent = errors.New("the engine skipped an event")
 
-// streamEnd says how a connection to an engine ended.
+// streamEnd is how a connection to an engine ended.
 type streamEnd int
 
 const (
-	endWhole streamEnd = iota
-	endFailed
-	endOverload
-	endCut
-	endStalled // the caller takes no more
+	endComplete      streamEnd = iota // after the end marker
+	endFailed                         // by an error event
+	endOverload                       // by a refusal for overload, before anything was delivered
+	endInterrupted                    // the connection broke, or an event is missing or too large
+	endCallerStalled                  // a write to the caller failed or timed out
 )
 
-// stream relays the events of one generation, over as many connections to its
-// engine as it takes.
+// stream relays the events of one generation over one or more connections to its engine.
 type stream struct {
 	g      *Gateway
 	c      *call
@@ -50,12 +49,12 @@
 	target targets.Target
 	gen    generation
 	rc     *http.ResponseController
-	last   int // the engine's ID of the last event taken, or noID
+	last   int // the engine's ID of the last event read, or noID
 
-	mu       sync.Mutex // held, released: the hold's timer works beside run
-	held     []byte
-	heldN    int
-	released bool
+	mu         sync.Mutex // guards the fields below against the hold timer
+	held       []byte
+	heldEvents int
+	released   bool
 }
 
 func (g *Gateway) newStream(c *call, f forwardRequest, t targets.Target, gen generation) *stream {
@@ -68,21 +67,21 @@
 	return g.newStream(c, f, t, gen).run(ctx, resp)
 }
 
-// run relays to the end of the stream. Its error says whether anything was
+// run relays events until the stream ends. The progress of its error shows whether anything was
 // delivered: if so, finish ends the stream with an error event.
 func (s *stream) run(ctx context.Context, resp *http.Response) *attemptError {
 	copyHeader(s.c.w, s.target, resp)
 	timer := s.startHold()
 	defer timer.Stop()
-	barren := 0
+	emptyConns := 0
 	for {
 		last := s.last
 		end, err := s.copy(resp.Body, last)
 		_ = resp.Body.Close()
 		switch end {
-		case endWhole:
+		case endComplete:
 			return nil
-		case endStalled:
+		case endCallerStalled:
 			s.g.cancelGeneration(s.c, s.target, s.gen)
 			return s.fail(retry.Sent, problem.CallerGone, err)
 		case endOverload:
@@ -90,30 +89,29 @@
 		case endFailed:
 			return s.fail(retry.Sent, problem.TargetFailed, err)
 		}
-		if barren++; s.last > last {
-			barren = 0
+		if emptyConns++; s.last > last {
+			emptyConns = 0
 		}
-		if resp, err = s.resume(ctx, barren, err); err != nil {
+		if resp, err = s.resume(ctx, emptyConns, err); err != nil {
 			s.g.cancelIfGone(ctx, s.c, s.f, s.target, s.gen, retry.Sent)
 			return s.fail(retry.Sent, problem.TargetFailed, err)
 		}
 	}
 }
 
-// resume continues a cut stream at its engine. It tries again while the
-// engine can't be reached, as long as the engine was asked to hold the stream.
-// A request that may be repeated, and of which nothing was delivered, is
-// better tried elsewhere.
-func (s *stream) resume(ctx context.Context, barren int, cause error) (*http.Response, error) {
+// resume continues an interrupted stream at its engine. It retries while the engine is
+// unreachable, for as long as the engine was asked to hold the stream but at most resumeTimeout.
+// If nothing was delivered, a repeatable request isn't resumed but retried on another target.
+func (s *stream) resume(ctx context.Context, emptyConns int, cause error) (*http.Response, error) {
 	elsewhere := s.f.repeatable && !s.isReleased()
-	if elsewhere || s.last == noID || barren >= maxBarren || errors.Is(cause, errGap) {
+	if elsewhere || s.last == noID || emptyConns >= maxEmptyConns || errors.Is(cause, errMissingEvent) {
 		return nil, cause
 	}
 	s.c.log().Info("resume stream", "target", s.target.ID, "last", s.last, "cause", cause)
-	end := time.Now().Add(min(s.g.resumeHold(s.c), resumePatience))
+	end := time.Now().Add(min(s.g.resumeHold(s.c), resumeTimeout))
 	for number := 1; ctx.Err() == nil; number++ {
 		s.g.pause(ctx, number)
-		pause.Sleep(ctx, min(s.g.notices.restFor(s.target, time.Now()), time.Until(end)))
+		pause.Sleep(ctx, min(s.g.notices.cooldownFor(s.target, time.Now()), time.Until(end)))
 		resp, err := s.g.resume(ctx, s.c, s.f, s.target, s.gen, s.last)
 		if err == nil {
 			s.g.metrics.resumes.WithLabelValues(resumedByNode).Inc()
@@ -127,40 +125,40 @@
 	return nil, cause
 }
 
-// copy relays one connection's events. after is the ID from which the
-// connection was resumed, or noID: then repeated events are dropped, and the
-// first new one must be the next.
+// copy relays the events of one connection. after is the event ID from which the connection was
+// resumed, or noID. After a resumption, repeated events are dropped and the first new ID must be
+// after+1.
 func (s *stream) copy(body io.Reader, after int) (streamEnd, error) {
 	events := newEventReader(body, s.gen.eventPrefix())
 	for {
 		ev, err := events.next()
 		if err != nil {
-			return endCut, err
+			return endInterrupted, err
 		}
 		if ev.kind == eventError {
-			return s.failedBy(ev)
+			return s.classifyErrorEvent(ev)
 		}
 		if after != noID && ev.id != noID {
 			if ev.id <= after {
 				continue
 			}
 			if ev.id != after+1 {
-				return endCut, errGap
+				return endInterrupted, errMissingEvent
 			}
 			after = noID
 		}
 		s.last = max(s.last, ev.id)
 		if err := s.emit(ev, events.buffered()); err != nil && s.f.repeatable {
-			return endStalled, err
+			return endCallerStalled, err
 		}
 		if ev.kind == eventDone {
 			s.c.captured.end()
-			return endWhole, nil
+			return endComplete, nil
 		}
 	}
 }
 
-func (s *stream) failedBy(ev event) (streamEnd, error) {
+func (s *stream) classifyErrorEvent(ev event) (streamEnd, error) {
 	cause := errors.Newf("the engine said: %s", ev.data)
 	if isOverload(ev) && !s.isReleased() {
 		return endOverload, cause
@@ -168,8 +166,8 @@
 	return endFailed, cause
 }
 
-// fail ends a stream. If nothing was delivered the caller's request may be
-// tried elsewhere; else an error event says that the stream is not whole.
+// fail returns the attempt error of a failed stream. If nothing was delivered, the request may
+// be retried on another target; otherwise an error event will mark the stream as incomplete.
 func (s *stream) fail(p retry.Progress, reason problem.Reason, cause error) *attemptError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,14 +175,15 @@
 		cause = errors.New("the engine ended the stream early")
 	}
 	if !s.released {
-		s.released = true // the timer comes too late
+		s.released = true // makes the hold timer's release do nothing
 		return &attemptError{progress: p, reason: reason, cause: cause}
 	}
 	return &attemptError{progress: retry.Delivered, reason: reason, cause: cause}
 }
 
-// startHold begins to hold back opening events. Without a hold, the answer's
-// header goes out at once.
+// startHold starts to hold back opening events for at most --stream-hold, so that a request that
+// fails before its first output can be retried. Without a hold, the response header is sent at
+// once.
 func (s *stream) startHold() *time.Timer {
 	hold := s.g.cfg.StreamHold
 	if hold == 0 {
@@ -218,16 +217,16 @@
 	_ = s.flush()
 }
 
-// emit delivers an event, or holds it if it is an opening event. more says
-// that another follows at once, so that flushing can wait for it. It fails if
-// the caller takes nothing for the gateway's stall time.
+// emit delivers an event, or holds it back if it is an opening event. more means that another
+// event can be read without blocking, so that flushing can wait for it. emit fails if a write to
+// the caller fails or blocks for longer than the write timeout.
 func (s *stream) emit(ev event, more bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.released {
 		s.held = append(s.held, ev.raw...)
-		s.heldN++
-		if isOpening(ev) && s.heldN < maxHeldEvents && len(s.held) < maxHeldBytes {
+		s.heldEvents++
+		if isOpening(ev) && s.heldEvents < maxHeldEvents && len(s.held) < maxHeldBytes {
 			return nil
 		}
 		s.releaseLocked()
@@ -240,24 +239,24 @@
 	return s.flush()
 }
 
-// write may already reach the connection, when the server's buffer is full.
+// write writes to the server's buffer, which goes to the connection when it is full.
 func (s *stream) write(p []byte) {
 	s.c.captured.add(p)
-	s.g.limitWrite(s.c)
+	s.g.setWriteDeadline(s.c)
 	_, _ = s.c.w.Write(p)
 }
 
-// flush sends what was written. A failed write shows here.
+// flush sends the buffered data. It returns the error of a failed write, which write ignores.
 func (s *stream) flush() error {
-	s.g.limitWrite(s.c)
+	s.g.setWriteDeadline(s.c)
 	return s.rc.Flush()
 }
 
-// limitWrite bounds the write that follows. The limit of the one before may be over:
-// a stream may pause for longer, and would then lose its next burst of events, or
-// the event that says why it ends. net/http lifts the limit before the connection's
-// next request.
-func (g *Gateway) limitWrite(c *call) {
-	// A writer without deadlines only waits for the caller's own end.
-	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(g.stall))
+// setWriteDeadline sets the deadline of the next write. Each write needs a new one: a stream may
+// pause for longer than the write timeout, and an expired deadline would lose the next burst of
+// events or the final error event. net/http clears the deadline before the connection's next
+// request.
+func (g *Gateway) setWriteDeadline(c *call) {
+	// Ignored: a writer without deadlines waits until the caller disconnects.
+	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(g.writeTimeout))
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -21,28 +21,28 @@
 	"github.com/knapweedgw/knapweedgw/settings"
 )
 
-// sseEngine streams total tokens and can resume what it holds.
+// sseEngine streams total tokens. It can resume the stream of a request ID that it ran before.
 type sseEngine struct {
 	total int
-	// script says, for each connection in turn, what it does wrong.
+	// script holds the fault of each connection, in order; further connections have none.
 	script []fault
 
 	mu       sync.Mutex
 	conns    int
-	runs     map[string]int // by X-Request-Id
+	runs     map[string]int // by X-Request-Id, without resumptions
 	canceled []string
 	holds    []string // X-Resume-Hold of each connection
 	waiting  chan struct{}
 }
 
 type fault struct {
-	cutAfter int  // tokens sent in all before the connection is cut; 0 for no cut
-	partial  bool // the cut falls within an event
-	skip     bool // resumes one event too late
-	again    bool // resumes one event too early
-	away     bool // cannot be reached
-	gone     bool // 410 to a resumption
-	hang     bool // waits after the cut instead of cutting
+	interruptAfter int  // the ID of the last token before the connection is closed; 0 to keep it open
+	partial        bool // the connection is closed within an event
+	resumeLate     bool // resumes one event too late
+	resumeEarly    bool // resumes one event too early
+	unreachable    bool // closes the connection without a response
+	notHeld        bool // responds to a resumption with 410
+	hang           bool // keeps the connection open without sending instead of closing it
 }
 
 func newSSEEngine(total int, script ...fault) *sseEngine {
@@ -55,24 +55,24 @@
 	if r.Method == http.MethodDelete {
 		return
 	}
-	if f.away {
+	if f.unreachable {
 		panic(http.ErrAbortHandler)
 	}
 	last, _ := strconv.Atoi(r.Header.Get(HeaderLastEventID))
-	if last > 0 && (f.gone || !held) {
+	if last > 0 && (f.notHeld || !held) {
 		w.WriteHeader(http.StatusGone)
 		return
 	}
 	w.Header().Set("Content-Type", eventStream)
-	if last > 0 && f.skip {
+	if last > 0 && f.resumeLate {
 		last++
 	}
-	if last > 0 && f.again {
+	if last > 0 && f.resumeEarly {
 		last--
 	}
 	for i := last + 1; i <= e.total; i++ {
-		if f.cutAfter > 0 && i > f.cutAfter {
-			e.cut(w, r, f)
+		if f.interruptAfter > 0 && i > f.interruptAfter {
+			e.interrupt(w, r, f)
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":\"<%d>\"}}]}\n\n", i, i)
 	}
@@ -99,7 +99,7 @@
 	return f, held
 }
 
-func (e *sseEngine) cut(w http.ResponseWriter, r *http.Request, f fault) {
+func (e *sseEngine) interrupt(w http.ResponseWriter, r *http.Request, f fault) {
 	if f.partial {
 		_, _ = io.WriteString(w, "id: 999\ndata: {\"choices\":[{\"delta\"")
 	}
@@ -123,8 +123,9 @@
 	return n
 }
 
-// tokens returns what a stream delivered: "123" and whether it was whole.
-func tokens(body string) (got string, whole bool) {
+// tokens returns the tokens in a stream, such as "123", and whether the stream has its end
+// marker.
+func tokens(body string) (got string, complete bool) {
 	sc := bufio.NewScanner(strings.NewReader(body))
 	for sc.Scan() {
 		line := sc.Text()
@@ -132,9 +133,9 @@
 			n, _, _ := strings.Cut(rest, ">")
 			got += n
 		}
-		whole = whole || line == "data: [DONE]"
+		complete = complete || line == "data: [DONE]"
 	}
-	return got, whole
+	return got, complete
 }
 
 const openingChunkText = "data: {\"choices\":[{\"delta\":{\"role\":\"assistant\",\"content\":\"\"}}]}\n\n"
@@ -142,7 +143,7 @@
 const overloaded = `data: {"error":{"type":"service_unavailable_error","code":"server_is_overloaded"}}` + "\n\n"
 
 func overloadTarget(before string) *target {
-	return &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", eventStream)
 		_, _ = io.WriteString(w, before+overloaded)
 	}}
@@ -150,21 +151,21 @@
 
 func TestStreams(t *testing.T) {
 	tests := []struct {
-		name   string
-		script []fault
-		tokens string
-		whole  bool
+		name     string
+		script   []fault
+		tokens   string
+		complete bool
 	}{
 		{"whole", nil, "12345", true},
-		{"cut and resumed", []fault{{cutAfter: 2}}, "12345", true},
-		{"cut within an event and resumed", []fault{{cutAfter: 2, partial: true}}, "12345", true},
-		{"cut before the end marker", []fault{{cutAfter: 4}, {cutAfter: 4}}, "12345", true},
-		{"cut again and again", []fault{{cutAfter: 1}, {cutAfter: 2}, {cutAfter: 3}, {cutAfter: 4}}, "12345", true},
-		{"out of reach for a while", []fault{{cutAfter: 2}, {away: true}, {away: true}, {away: true}, {away: true}}, "12345", true},
-		{"cut too often", []fault{{cutAfter: 1}, {cutAfter: 1}, {cutAfter: 1}, {cutAfter: 1}, {cutAfter: 1}, {cutAfter: 1}}, "1", false},
-		{"no longer held", []fault{{cutAfter: 2}, {gone: true}}, "12", false},
-		{"resumed too early", []fault{{cutAfter: 3}, {again: true}}, "12345", true},
-		{"resumed too late", []fault{{cutAfter: 3}, {skip: true}}, "123", false},
+		{"interrupted and resumed", []fault{{interruptAfter: 2}}, "12345", true},
+		{"interrupted within an event and resumed", []fault{{interruptAfter: 2, partial: true}}, "12345", true},
+		{"interrupted before the end marker", []fault{{interruptAfter: 4}, {interruptAfter: 4}}, "12345", true},
+		{"interrupted repeatedly", []fault{{interruptAfter: 1}, {interruptAfter: 2}, {interruptAfter: 3}, {interruptAfter: 4}}, "12345", true},
+		{"unreachable for a while", []fault{{interruptAfter: 2}, {unreachable: true}, {unreachable: true}, {unreachable: true}, {unreachable: true}}, "12345", true},
+		{"interrupted too often", []fault{{interruptAfter: 1}, {interruptAfter: 1}, {interruptAfter: 1}, {interruptAfter: 1}, {interruptAfter: 1}, {interruptAfter: 1}}, "1", false},
+		{"no longer held", []fault{{interruptAfter: 2}, {notHeld: true}}, "12", false},
+		{"resumed too early", []fault{{interruptAfter: 3}, {resumeEarly: true}}, "12345", true},
+		{"resumed too late", []fault{{interruptAfter: 3}, {resumeLate: true}}, "123", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -174,11 +175,11 @@
 			a := n.chat(t, streamReq)
 			is.NoErr(a.err)
 			is.Equal(a.status, 200)
-			got, whole := tokens(a.body)
+			got, complete := tokens(a.body)
 			is.Equal(got, tt.tokens)
-			is.Equal(whole, tt.whole)
-			is.Equal(strings.Contains(a.body, "event: error"), !tt.whole)
-			if !whole {
+			is.Equal(complete, tt.complete)
+			is.Equal(strings.Contains(a.body, "event: error"), !tt.complete)
+			if !complete {
 				is.True(strings.Contains(a.body, `"ran":"unknown"`))
 			}
 			is.Equal(e.ran(), 1)
@@ -187,29 +188,30 @@
 	}
 }
 
-// A stream cut while nothing but opening events came is tried elsewhere at
-// once, also if it could be resumed.
-func TestCutWhileHeld(t *testing.T) {
+// A stream interrupted when only opening events had arrived is retried on another target at
+// once, even if it could be resumed.
+func TestStreamInterruptedDuringHold(t *testing.T) {
 	for _, id := range []string{"", "id: 1\n"} {
 		is := is.New(t)
-		cut := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+		aborting := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", eventStream)
 			_, _ = io.WriteString(w, ": keepalive\n\n"+id+openingChunkText)
 			flush(w)
 			panic(http.ErrAbortHandler)
 		}}
-		n := newNode(t, []http.Handler{cut, newSSEEngine(3)})
-		got, whole := tokens(n.chat(t, streamReq).body)
+		n := newNode(t, []http.Handler{aborting, newSSEEngine(3)})
+		got, complete := tokens(n.chat(t, streamReq).body)
 		is.Equal(got, "123")
-		is.True(whole)
-		is.Equal(cut.count(), 1)
+		is.True(complete)
+		is.Equal(aborting.count(), 1)
 	}
 }
 
-// Only after a resumption must the IDs be consecutive.
+// Event IDs must be consecutive only after a resumption; other engines may number their events
+// differently.
 func TestEventIDsOfOtherEngines(t *testing.T) {
 	is := is.New(t)
-	e := &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+	e := &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", eventStream)
 		for i := range 4 {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: {\"content\":\"<%d>\"}\n\n", 10*i, i)
@@ -217,13 +219,13 @@
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}}
 	n := newNode(t, handlers(e))
-	got, whole := tokens(n.chat(t, streamReq).body)
+	got, complete := tokens(n.chat(t, streamReq).body)
 	is.Equal(got, "0123")
-	is.True(whole)
+	is.True(complete)
 }
 
-// An overload hidden behind opening events is tried elsewhere, unless the
-// opening events were already delivered.
+// A refusal for overload after opening events is retried on another target, unless the opening
+// events were already delivered.
 func TestHiddenOverload(t *testing.T) {
 	content := "data: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\n\n"
 	tool := "data: {\"choices\":[{\"delta\":{\"tool_calls\":[{}]}}]}\n\n"
@@ -250,8 +252,8 @@
 			n := newNode(t, []http.Handler{overloadTarget(tt.before), second}, tt.opts...)
 			a := n.chat(t, streamReq)
 			is.Equal(a.status, 200)
-			got, whole := tokens(a.body)
-			is.Equal(whole, tt.retry)
+			got, complete := tokens(a.body)
+			is.Equal(complete, tt.retry)
 			is.Equal(strings.Contains(a.body, "event: error"), !tt.retry)
 			if tt.retry {
 				is.Equal(got, "123")
@@ -263,17 +265,18 @@
 	}
 }
 
-// Overload everywhere is a plain refusal with a status, and not run.
+// If every engine refuses for overload inside its stream, the caller gets a refusal with a
+// status, and ran is "no".
 func TestHiddenOverloadEverywhere(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t, handlers(overloadTarget(opening)))
 	a := n.chat(t, streamReq)
 	is.Equal(a.status, 503)
-	is.True(a.is(problem.NoTarget, problem.RanNo))
+	is.True(a.isRefusal(problem.NoTarget, problem.RanNo))
 }
 
-// firstEvents reads a stream until n events with an ID have come, goes away
-// and returns the last ID and the tokens.
+// firstEvents reads a stream until count events have arrived, disconnects, and returns the last
+// ID and the tokens.
 func (n *node) firstEvents(t *testing.T, count int, header ...string) (lastID, got string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -301,11 +304,11 @@
 	return lastID, got
 }
 
-// A caller that goes away cancels its generation, unless it asked for a hold;
-// then it gets the rest from any node, and no other workspace does.
+// A caller that asked for a hold can disconnect and get the rest of its stream through any node.
+// Another workspace can't, nor can another request ID of the same workspace.
 func TestReconnect(t *testing.T) {
 	is := is.New(t)
-	e := newSSEEngine(5, fault{cutAfter: 2, hang: true})
+	e := newSSEEngine(5, fault{interruptAfter: 2, hang: true})
 	one, two := newNode(t, []http.Handler{e}), newNode(t, nil)
 	two.targets.pool = one.targets.pool
 	last, got := one.firstEvents(t, 2, HeaderRequestID, "r1", HeaderResumeHold, "5")
@@ -315,38 +318,37 @@
 	is.Equal(len(e.canceled), 0)
 	is.Equal(e.holds, []string{"5"})
 
-	stranger := two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, "r1", HeaderLastEventID, last)
-	is.Equal(stranger.status, 410)
-	is.True(stranger.is(problem.StreamNotResumable, problem.RanUnknown))
+	otherWorkspace := two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, "r1", HeaderLastEventID, last)
+	is.Equal(otherWorkspace.status, 410)
+	is.True(otherWorkspace.isRefusal(problem.StreamNotResumable, problem.RanUnknown))
 	forged := "r1~" + workspaceDigest(settings.WorkspaceRef{Team: "a", Name: "wa"}, strings.Repeat("0", 32))
-	stranger = two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, forged, HeaderLastEventID, last)
-	is.Equal(stranger.status, 410)
+	otherWorkspace = two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, forged, HeaderLastEventID, last)
+	is.Equal(otherWorkspace.status, 410)
 	otherRequest := two.send(t, "POST", chatPath, keyA, streamReq, HeaderRequestID, "r2", HeaderLastEventID, last)
 	is.Equal(otherRequest.status, 410)
 
 	rest := two.send(t, "POST", chatPath, keyA, streamReq, HeaderRequestID, "r1", HeaderLastEventID, last)
 	is.Equal(rest.status, 200)
-	got, whole := tokens(rest.body)
+	got, complete := tokens(rest.body)
 	is.Equal(got, "345")
-	is.True(whole)
+	is.True(complete)
 	is.Equal(e.ran(), 1)
 }
 
 func TestCallerGoneCancels(t *testing.T) {
 	is := is.New(t)
-	e := newSSEEngine(5, fault{cutAfter: 2, hang: true})
+	e := newSSEEngine(5, fault{interruptAfter: 2, hang: true})
 	n := newNode(t, []http.Handler{e})
 	n.firstEvents(t, 2, HeaderRequestID, "r1")
 	eventually(t, n.released)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	is.Equal(len(e.canceled), 1)
-	is.True(e.runs[e.canceled[0]] == 1) // the very generation
+	is.True(e.runs[e.canceled[0]] == 1) // the generation that was run
 	is.Equal(testutil.ToFloat64(n.Gateway.metrics.cancels), 1.0)
 }
 
-// A caller that takes nothing of its stream loses it, and gives its engine
-// back.
+// A caller that doesn't read its stream is disconnected, and its generation is canceled.
 func TestStalledCaller(t *testing.T) {
 	canceled := make(chan struct{})
 	var once sync.Once
@@ -361,7 +363,7 @@
 			_, _ = io.WriteString(w, event)
 		}
 	})})
-	n.stall = 50 * time.Millisecond
+	n.writeTimeout = 50 * time.Millisecond
 	resp := n.open(t, chatPath, streamReq)
 	defer func() { _ = resp.Body.Close() }()
 	<-canceled
@@ -369,11 +371,12 @@
 	eventually(t, func() bool { return n.refused(problem.CallerGone) == 1 })
 }
 
-// A keyed stream runs to its end without its caller and is replayed whole.
+// A stream with an Idempotency-Key runs to its end without its caller and is replayed
+// completely.
 func TestClaimedStream(t *testing.T) {
 	is := is.New(t)
 	claimer := newFakeClaimer()
-	e := newSSEEngine(5, fault{cutAfter: 2})
+	e := newSSEEngine(5, fault{interruptAfter: 2})
 	n := newNode(t, []http.Handler{e}, withClaimer(claimer))
 	n.firstEvents(t, 1, HeaderIdempotencyKey, "k")
 	outcome, _ := claimer.finished(t, "k")
@@ -381,29 +384,30 @@
 	a := n.chat(t, streamReq, HeaderIdempotencyKey, "k")
 	is.Equal(a.header.Get(HeaderReplayed), "true")
 	is.Equal(a.header.Get("Content-Type"), eventStream)
-	got, whole := tokens(a.body)
+	got, complete := tokens(a.body)
 	is.Equal(got, "12345")
-	is.True(whole)
+	is.True(complete)
 	is.Equal(e.ran(), 1)
 	is.Equal(len(e.canceled), 0)
 }
 
-// A keyed stream that is cut for good is unknown, not replayed in part.
-func TestClaimedStreamCut(t *testing.T) {
+// A stream with an Idempotency-Key that can't be resumed gets an unknown outcome and isn't
+// replayed in part.
+func TestClaimedStreamInterrupted(t *testing.T) {
 	is := is.New(t)
 	claimer := newFakeClaimer()
-	n := newNode(t, []http.Handler{newSSEEngine(5, fault{cutAfter: 2}, fault{gone: true})}, withClaimer(claimer))
+	n := newNode(t, []http.Handler{newSSEEngine(5, fault{interruptAfter: 2}, fault{notHeld: true})}, withClaimer(claimer))
 	n.chat(t, streamReq, HeaderIdempotencyKey, "k")
 	outcome, _ := claimer.finished(t, "k")
 	is.Equal(outcome, claims.Lost)
 	a := n.chat(t, streamReq, HeaderIdempotencyKey, "k")
-	is.True(a.is(problem.ClaimUnknown, problem.RanUnknown))
+	is.True(a.isRefusal(problem.ClaimUnknown, problem.RanUnknown))
 }
 
-// An unstreamed answer cut by a service is never taken for a whole one.
-func TestCutAnswers(t *testing.T) {
+// An unstreamed response truncated by a service is never delivered as a complete one.
+func TestTruncatedResponses(t *testing.T) {
 	half := func(n int) *target {
-		return &target{answer: func(w http.ResponseWriter, _ *http.Request) {
+		return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", strconv.Itoa(2*n))
 			_, _ = w.Write(make([]byte, n))
 			flush(w)
@@ -412,18 +416,18 @@
 	}
 	is := is.New(t)
 	n := newNode(t, handlers(half(100)))
-	is.True(n.send(t, "POST", letters, keyA, "").is(problem.TargetFailed, problem.RanUnknown))
-	n = newNode(t, handlers(half(2*maxHeldAnswer)))
-	a := n.send(t, "POST", letters, keyA, "")
+	is.True(n.send(t, "POST", lettersPath, keyA, "").isRefusal(problem.TargetFailed, problem.RanUnknown))
+	n = newNode(t, handlers(half(2*maxBufferedResponse)))
+	a := n.send(t, "POST", lettersPath, keyA, "")
 	is.Equal(a.status, 200)
-	is.True(a.err != nil) // the connection broke
+	is.True(a.err != nil) // the connection was closed early
 }
 
-// An answer larger than what is held passes unchanged.
-func TestLargeAnswer(t *testing.T) {
+// A response larger than the buffer is delivered unchanged.
+func TestLargeResponse(t *testing.T) {
 	is := is.New(t)
-	large := strings.Repeat("0123456789", maxHeldAnswer/4)
-	n := newNode(t, handlers(&target{answer: func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) }}))
+	large := strings.Repeat("0123456789", maxBufferedResponse/4)
+	n := newNode(t, handlers(&target{handler: func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) }}))
 	a := n.send(t, "GET", "/services/s/works", keyA, "")
 	is.NoErr(a.err)
 	is.True(a.body == large)
