--- a/admission/cell/admit.go
+++ b/admission/cell/admit.go
@@ -6,37 +6,37 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// maxUrgency is the value of the least urgent request (RFC 9218).
+// maxUrgency is the numeric value of the lowest urgency (RFC 9218).
 const maxUrgency = 7
 
-// The Retry-After of a refusal lies in [retryMin, retryMin+retrySpread), twice
-// that for the least urgent.
+// The Retry-After of a refusal lies in [retryMin, retryMin+retrySpread), twice that for the
+// lowest urgency.
 const (
 	retryMin    = time.Second
 	retrySpread = 4 * time.Second
 )
 
-// admit refuses an Ask that the whole pool has no room for. It returns Granted
-// if the Ask may be placed.
+// admit refuses an Ask for which the whole pool has no capacity. It returns Granted if the
+// Ask may be placed.
 func (c *Cell) admit(now time.Time, a Ask) Verdict {
 	c.checkPause(now)
-	if c.trust.recovering() {
+	if c.recovery.recovering() {
 		return Verdict{Outcome: Full, Reason: ReasonRecovering, RetryAfter: retryAfter(now, a)}
 	}
 	hard := c.own.Capacity * c.cfg.MaxInFlight
-	over := c.shares.over(a.Workspace, a.Weight, hard)
-	fill := c.fill()
-	if over && fill > ceiling(c.cfg.Reserve, a.Urgency, true) {
+	over := c.shares.exceedsShare(a.Workspace, a.Weight, hard)
+	fill := c.utilization()
+	if over && fill > utilizationLimit(c.cfg.Reserve, a.Urgency, true) {
 		return Verdict{Outcome: Refused, Reason: ReasonWorkspaceLimit, RetryAfter: retryAfter(now, a)}
 	}
-	if fill > ceiling(c.cfg.Reserve, a.Urgency, false) {
+	if fill > utilizationLimit(c.cfg.Reserve, a.Urgency, false) {
 		return Verdict{Outcome: Refused, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
 	}
 	return Verdict{Outcome: Granted}
 }
 
-// fill is the used share of the pool's hard capacity with one more request.
-func (c *Cell) fill() float64 {
+// utilization is the used share of the pool's hard capacity, counting one more request.
+func (c *Cell) utilization() float64 {
 	own := c.Totals()
 	hard := (own.Capacity + c.others.Capacity) * c.cfg.MaxInFlight
 	if hard == 0 {
@@ -45,10 +45,10 @@
 	return float64(own.InFlight+c.others.InFlight+1) / float64(hard)
 }
 
-// ceiling is the share of the pool's hard capacity that a request may use: all
-// of it at urgency 0, less in proportion to the urgency, and less by another
+// utilizationLimit is the share of the pool's hard capacity that a request may use: all of
+// it at urgency 0, less in proportion to the urgency's numeric value, and less by another
 // reserve for a workspace over its fair share.
-func ceiling(reserve float64, urgency int, over bool) float64 {
+func utilizationLimit(reserve float64, urgency int, over bool) float64 {
 	c := 1 - reserve*float64(min(max(urgency, 0), maxUrgency))/maxUrgency
 	if over {
 		c -= reserve
@@ -56,7 +56,8 @@
 	return c
 }
 
-// retryAfter spreads refused callers out, by a hash of the request.
+// retryAfter returns the Retry-After of a refusal. It is spread by a hash of the request, so
+// that refused callers don't return at the same time.
 func retryAfter(now time.Time, a Ask) time.Duration {
 	h := routing.Rank(routing.Hash(a.Request), uint64(now.UnixNano()))
 	d := retryMin + time.Duration(h%uint64(retrySpread))
--- a/admission/cell/admit_test.go
+++ b/admission/cell/admit_test.go
@@ -17,14 +17,14 @@
 		over    bool
 		want    float64
 	}{
-		{"an emergency may use all", 0, false, 1},
-		{"the least urgent leaves the reserve", 7, false, 0.8},
-		{"beyond its share, an emergency leaves the reserve", 0, true, 0.8},
-		{"beyond its share, the least urgent leaves two", 7, true, 0.6},
-		{"urgency is held to its range", 99, false, 0.8},
+		{"urgency 0 may use all", 0, false, 1},
+		{"urgency 7 leaves the reserve free", 7, false, 0.8},
+		{"over its share, urgency 0 leaves the reserve free", 0, true, 0.8},
+		{"over its share, urgency 7 leaves two reserves free", 7, true, 0.6},
+		{"urgency is clamped to its range", 99, false, 0.8},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got := ceiling(0.2, tt.urgency, tt.over)
+			got := utilizationLimit(0.2, tt.urgency, tt.over)
 			is.New(t).True(got > tt.want-1e-9 && got < tt.want+1e-9)
 		})
 	}
@@ -39,25 +39,25 @@
 		capacity int
 		want     bool
 	}{
-		{"alone it may use all", nil, "a", 1, 4, false},
-		{"half of two and the margin of 1+4", map[string]int{"a": 21, "b": 1}, "a", 1, 32, true},
+		{"the only workspace may use all", nil, "a", 1, 4, false},
+		{"half of 32 plus the margin of 1+4 is exceeded", map[string]int{"a": 21, "b": 1}, "a", 1, 32, true},
 		{"within the margin", map[string]int{"a": 20, "b": 1}, "a", 1, 32, false},
-		{"a heavy one may use more", map[string]int{"a": 29, "b": 1}, "a", 4, 45, false},
-		{"but not without end", map[string]int{"a": 43, "b": 1}, "a", 4, 45, true},
-		{"a newcomer counts", map[string]int{"b": 40}, "a", 1, 40, false},
-		{"one request is always a share", map[string]int{"b": 1, "c": 1}, "a", 1, 1, false},
+		{"a higher weight allows more", map[string]int{"a": 29, "b": 1}, "a", 4, 45, false},
+		{"a higher weight still has a limit", map[string]int{"a": 43, "b": 1}, "a", 4, 45, true},
+		{"a workspace without requests counts as active", map[string]int{"b": 40}, "a", 1, 40, false},
+		{"one request is always within the share", map[string]int{"b": 1, "c": 1}, "a", 1, 1, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := newShares()
 			for w, n := range tt.counts {
 				s.add(w, n)
 			}
-			is.New(t).Equal(s.over(tt.ask, tt.weight, tt.capacity), tt.want)
+			is.New(t).Equal(s.exceedsShare(tt.ask, tt.weight, tt.capacity), tt.want)
 		})
 	}
 }
 
-// A list of places carries no weights; those known stay in force.
+// The lists of a Resync carry no weights; the known weights stay in force.
 func TestWeightOutlivesResync(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
@@ -68,9 +68,9 @@
 	is.Equal(c.shares.weights, 3.0)
 }
 
-// fill returns a cell of one target with room for 20, of which the workspace
-// "greedy" has n in flight.
-func fill(n int) *Cell {
+// cellWithLoad returns a cell of one target with a limit of 20, on which the workspace
+// "greedy" has n requests in flight.
+func cellWithLoad(n int) *Cell {
 	c := New(Config{LoadFactor: 100, MaxInFlight: 20, Reserve: 0.2})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
 	var holds []Hold
@@ -89,17 +89,17 @@
 		outcome Outcome
 		reason  Reason
 	}{
-		{"far from full nobody is limited", 10, Ask{Workspace: "greedy", Urgency: 7}, Granted, ReasonNone},
-		{"nearly full, beyond the share", 16, Ask{Workspace: "greedy"}, Refused, ReasonWorkspaceLimit},
+		{"far from full, no workspace is limited", 10, Ask{Workspace: "greedy", Urgency: 7}, Granted, ReasonNone},
+		{"nearly full, over the share", 16, Ask{Workspace: "greedy"}, Refused, ReasonWorkspaceLimit},
 		{"nearly full, under the share", 16, Ask{Workspace: "modest"}, Granted, ReasonNone},
-		{"batch is refused before it is full", 17, Ask{Workspace: "modest", Urgency: 7}, Refused, ReasonSaturated},
-		{"an emergency passes batch", 19, Ask{Workspace: "modest"}, Granted, ReasonNone},
-		{"full is full", 20, Ask{Workspace: "modest"}, Refused, ReasonSaturated},
+		{"lowest urgency is refused before the pool is full", 17, Ask{Workspace: "modest", Urgency: 7}, Refused, ReasonSaturated},
+		{"urgency 0 is granted where urgency 7 is refused", 19, Ask{Workspace: "modest"}, Granted, ReasonNone},
+		{"full pool refuses urgency 0", 20, Ask{Workspace: "modest"}, Refused, ReasonSaturated},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := fill(tt.load)
-			c.shares.add("modest", 1) // active, so that the shares are halves
+			c := cellWithLoad(tt.load)
+			c.shares.add("modest", 1) // active, so that each share is half
 			tt.ask.Request = "new"
 			v := c.Acquire(epoch, tt.ask)
 			is.Equal(v.Outcome, tt.outcome)
@@ -108,9 +108,9 @@
 	}
 }
 
-// Whatever the order of asks, a workspace beyond its share never takes the last
-// reserve, and one under its share is never refused by the workspace limit or
-// while that reserve is free.
+// In any order of asks, a workspace over its share never uses the last reserve, and one
+// under its share is never refused by the workspace limit, nor at all while that reserve is
+// free.
 func TestFairnessKeepsReserve(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := New(Config{LoadFactor: 100, MaxInFlight: rapid.IntRange(5, 40).Draw(rt, "max")})
@@ -120,7 +120,7 @@
 		for i := range rapid.IntRange(0, 150).Draw(rt, "asks") {
 			w := rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(rt, "workspace")
 			u := rapid.IntRange(0, 7).Draw(rt, "urgency")
-			over := c.shares.over(w, weights[w], hard)
+			over := c.shares.exceedsShare(w, weights[w], hard)
 			used := float64(c.own.InFlight+1) / float64(hard)
 			v := c.Acquire(epoch, Ask{Request: fmt.Sprint(i), Workspace: w, Weight: weights[w], Urgency: u})
 			is := is.New(rt)
@@ -144,8 +144,8 @@
 		load := rapid.IntRange(0, 20).Draw(rt, "load")
 		workspace := rapid.SampledFrom([]string{"greedy", "modest"}).Draw(rt, "workspace")
 		urgency := rapid.IntRange(0, 6).Draw(rt, "urgency")
-		less := fill(load).Acquire(epoch, Ask{Request: "less", Workspace: workspace, Urgency: urgency + 1})
-		more := fill(load).Acquire(epoch, Ask{Request: "more", Workspace: workspace, Urgency: urgency})
+		less := cellWithLoad(load).Acquire(epoch, Ask{Request: "less", Workspace: workspace, Urgency: urgency + 1})
+		more := cellWithLoad(load).Acquire(epoch, Ask{Request: "more", Workspace: workspace, Urgency: urgency})
 		is.New(rt).True(less.Outcome != Granted || more.Outcome == Granted)
 	})
 }
@@ -159,7 +159,7 @@
 		all = append(all, d)
 	}
 	slices.Sort(all)
-	// No tenth of the callers comes back within less than half its even share.
+	// Any tenth of the callers is spread over at least half of its even share of the time.
 	for i := 100; i < len(all); i += 100 {
 		is.True(all[i]-all[i-100] > retrySpread/20)
 	}
--- a/admission/cell/announcer.go
+++ b/admission/cell/announcer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Announcer decides when an owner tells the pool's other owners the totals of
-// its cells: at once when they change much, else seldom.
+// Announcer decides when an owner sends its cell's totals to the owners of the pool's other
+// cells: soon after a large change, otherwise at a long interval.
 type Announcer struct {
 	Quiet time.Duration // longest time between two announcements
 	Gap   time.Duration // shortest time
@@ -16,13 +16,14 @@
 const (
 	DefaultQuiet = 5 * time.Second
 	DefaultGap   = 500 * time.Millisecond
-	// muchChange is the share of the requests in flight, and fewChange the
-	// least number, by which the totals must change to be announced early.
-	muchChange = 0.08
-	fewChange  = 4
+	// minRelativeChange is the share of the last announced requests in flight, and
+	// minAbsoluteChange the number of requests, by which the totals must change to be announced
+	// before the longest interval has passed.
+	minRelativeChange = 0.08
+	minAbsoluteChange = 4
 )
 
-// Due says whether to announce t now, and if so takes it as announced.
+// Due reports whether to announce t now; if so, it records t as announced.
 func (a *Announcer) Due(now time.Time, t Totals) bool {
 	age := now.Sub(a.at)
 	switch {
@@ -38,5 +39,5 @@
 func (a *Announcer) changed(t Totals) bool {
 	diff := t.InFlight - a.last.InFlight
 	diff = max(diff, -diff)
-	return t.Capacity != a.last.Capacity || diff >= fewChange && float64(diff) > muchChange*float64(a.last.InFlight)
+	return t.Capacity != a.last.Capacity || diff >= minAbsoluteChange && float64(diff) > minRelativeChange*float64(a.last.InFlight)
 }
--- a/admission/cell/bench_test.go
+++ b/admission/cell/bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{18, 196, 786, 5500} {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
-			c := loaded(n, 18)
+			c := evenlyLoadedCell(n, 18)
 			h := Holder{Node: "bench"}
 			requests := make([]string, 64)
 			for i := range requests {
@@ -20,15 +20,15 @@
 			for i := range b.N {
 				r := requests[i%len(requests)]
 				c.Release(h, r)
-				// Another chat each time, so that no memory shortens the scan.
+				// A new chat each time, so that no remembered target shortens the scan.
 				c.Acquire(epoch, Ask{Holder: h, Request: r, Chat: uint64(i), Workspace: "w", Urgency: 3})
 			}
 		})
 	}
 }
 
-// loaded returns a cell of n targets with a number of requests on each.
-func loaded(n, each int) *Cell {
+// evenlyLoadedCell returns a cell of n targets with the same number of requests on each.
+func evenlyLoadedCell(n, each int) *Cell {
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 64})
 	targets := make([]Target, n)
 	var holds []Hold
@@ -47,18 +47,18 @@
 func BenchmarkMemory(b *testing.B) {
 	const chats = 1 << 17
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		m := NewMemory(chats)
 		for i := range uint64(chats) {
 			m.Put(epoch, i*0x9e3779b97f4a7c15, "engine-0001")
 		}
-		after := heap()
+		after := heapBytes()
 		b.ReportMetric(float64(after-before)/chats, "B/chat")
 		runtime.KeepAlive(m)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/admission/cell/cell.go
+++ b/admission/cell/cell.go
@@ -1,7 +1,7 @@
-// Package cell is the state machine of an admission owner. A pool of targets
-// is divided into cells; the owner of a cell counts every request in flight
-// on the cell's targets and places new ones so that none exceeds its bound.
-// The package is pure: the clock is passed in and nothing is sent.
+// Package cell is the state machine of an admission owner. A pool of targets is divided into
+// cells; the node that owns a cell counts every request in flight on the cell's targets and
+// places new ones so that no target exceeds its bound. Each request in flight holds a place
+// on its target. The package is pure: the clock is passed in, and no messages are sent.
 package cell
 
 import (
@@ -11,40 +11,40 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// Of returns the cell of a target in a pool of that many cells.
+// Of returns the index of the cell that a target belongs to, in a pool of that many cells.
 func Of(target string, cells int) int {
 	return int(routing.Hash(target) % uint64(max(cells, 1)))
 }
 
-// Cell is the owner's state for one cell. It isn't safe for concurrent use.
+// Cell is the owner's state of one cell. It isn't safe for concurrent use.
 type Cell struct {
-	cfg    Config
-	slots  []slot
-	index  map[string]int // target ID to its slot
-	own    Totals
-	others Totals
-	holds  map[Holder]map[string]Hold
-	shares shares
-	memory *Memory
-	trust  trust
-	trend  trend
-	// health has the targets that failed of late; suspended is the capacity of
-	// those that are suspended, and trials numbers their trials.
+	cfg      Config
+	slots    []slot
+	index    map[string]int // target ID to its index in slots
+	own      Totals
+	others   Totals
+	holds    map[Holder]map[string]Hold
+	shares   shares
+	memory   *Memory
+	recovery recovery
+	trend    trend
+	// health has the targets that failed recently. suspended is the capacity of the suspended
+	// ones, and trials is the number of the last trial request to one of them.
 	health    map[string]*health
 	suspended int
 	trials    uint64
 }
 
-// slot is a target and the number of requests in flight on it. A target that
-// is gone keeps its slot while it has any.
+// slot is a target and the number of requests in flight on it. A target that is gone keeps
+// its slot while requests are in flight on it.
 type slot struct {
 	id       string
 	key      uint64
 	count    int
 	capacity int
-	listed   bool // and not leaving
+	listed   bool // in the list of targets and not leaving
 	usable   bool // listed and not suspended
-	// incarnation is the run of the target's process.
+	// incarnation identifies the run of the target's process.
 	incarnation int64
 }
 
@@ -86,8 +86,8 @@
 	return v
 }
 
-// SetTargets replaces the cell's targets. Requests on targets that are gone
-// stay counted until released.
+// SetTargets replaces the cell's targets. Requests on targets that are gone stay counted
+// until released.
 func (c *Cell) SetTargets(targets []Target) {
 	old := c.slots
 	c.slots = make([]slot, 0, len(targets))
@@ -114,7 +114,7 @@
 			c.own.InFlight += s.count
 		}
 	}
-	c.keepHealth()
+	c.restoreHealth()
 }
 
 func (c *Cell) addSlot(s slot) int {
@@ -124,23 +124,22 @@
 	return len(c.slots) - 1
 }
 
-// SetOthers sets the load of the pool's other cells, as their owners last
-// reported it.
+// SetOthers sets the load of the pool's other cells, as their owners last reported it.
 func (c *Cell) SetOthers(t Totals) { c.others = t }
 
-// Memory returns the cell's memory of chats. A new owner merges the memories
-// of the previous owner, if it can, and of the entry nodes.
+// Memory returns the record of where chats last ran. A new owner merges the records of the
+// previous owner, if it is reachable, and of the entry nodes.
 func (c *Cell) Memory() *Memory { return c.memory }
 
-// Totals returns the load of this cell's usable targets. During a takeover
-// the requests of holders that haven't been heard are estimated; before half
-// of them are heard there is nothing to tell other owners (see Recovering).
+// Totals returns the load of this cell's usable targets. During a takeover the requests of
+// holders that haven't reported are estimated. While Recovering, before half of them have
+// reported, the result must not be announced to other owners.
 func (c *Cell) Totals() Totals {
-	return Totals{InFlight: c.trust.scale(c.own.InFlight), Capacity: c.own.Capacity}
+	return Totals{InFlight: c.recovery.extrapolate(c.own.InFlight), Capacity: c.own.Capacity}
 }
 
-// Acquire decides an Ask and counts the place if granted. An Ask that is
-// repeated with the same holder and request gets the same place.
+// Acquire decides an Ask and counts the place if granted. It is idempotent: a repeated Ask
+// with the same holder and request gets the same place.
 func (c *Cell) Acquire(now time.Time, a Ask) Verdict {
 	if h, ok := c.holds[a.Holder][a.Request]; ok && !slices.Contains(a.Exclude, h.Target) {
 		return Verdict{Outcome: Granted, Target: h.Target}
@@ -151,7 +150,7 @@
 	c.trend.observe(now, c.Totals().InFlight+c.others.InFlight)
 	i := c.place(now, a)
 	if i < 0 {
-		return c.full(now, a)
+		return c.fullVerdict(now, a)
 	}
 	c.shares.setWeight(a.Workspace, a.Weight)
 	return c.grant(now, a, &c.slots[i])
@@ -168,7 +167,7 @@
 	return Verdict{Outcome: Granted, Target: s.id}
 }
 
-func (c *Cell) full(now time.Time, a Ask) Verdict {
+func (c *Cell) fullVerdict(now time.Time, a Ask) Verdict {
 	v := Verdict{Outcome: Full, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
 	if !slices.ContainsFunc(c.slots, func(s slot) bool { return s.usable && !slices.Contains(a.Exclude, s.id) }) {
 		v.Reason = ReasonNoTarget
@@ -176,7 +175,7 @@
 	return v
 }
 
-// Release ends a place; releasing an unknown one does nothing.
+// Release ends a place. It does nothing if the place is unknown.
 func (c *Cell) Release(h Holder, request string) {
 	hold, ok := c.holds[h][request]
 	if !ok {
@@ -186,9 +185,9 @@
 	c.remove(hold)
 }
 
-// Resync replaces all that a holder has by what it says it has. It rebuilds
-// the count after a change of owner and heals lost releases. The list must be
-// the holder's newest and include the places whose answers are under way.
+// Resync replaces all places of a holder by those that it reports. It rebuilds the count
+// after a change of owner and repairs lost releases. The list must be the holder's newest
+// and include the places whose grants are still on their way to it.
 func (c *Cell) Resync(h Holder, holds []Hold) {
 	keep := make(map[string]bool, len(holds))
 	for _, hold := range holds {
@@ -200,16 +199,16 @@
 			c.Release(h, request)
 		}
 	}
-	c.trust.hear(h)
+	c.recovery.markReported(h)
 }
 
-// Forget drops all places of a holder, for example of a node that died.
+// Forget drops all places of a holder, for example of a dead node.
 func (c *Cell) Forget(h Holder) {
 	for _, hold := range c.holds[h] {
 		c.remove(hold)
 	}
 	delete(c.holds, h)
-	c.trust.drop(h)
+	c.recovery.stopWaiting(h)
 }
 
 // Holders returns the holders that have a place or have had one.
@@ -235,7 +234,7 @@
 	old, ok := m[place.Request]
 	switch {
 	case ok && old.Target == place.Target && !place.granted:
-		place.ownRecord = old.ownRecord
+		place.grantRecord = old.grantRecord
 		c.uncount(old)
 	case ok:
 		c.remove(old)
--- a/admission/cell/cell_test.go
+++ b/admission/cell/cell_test.go
@@ -13,15 +13,16 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// machine drives a cell by random calls and checks it against its own recount.
-type machine struct {
+// cellModel calls a cell's methods in random order and compares its counts with a recount of
+// the places.
+type cellModel struct {
 	c      *Cell
 	cfg    Config
 	listed []Target
 	others Totals
 }
 
-func (m *machine) init(t *rapid.T) {
+func (m *cellModel) init(t *rapid.T) {
 	m.cfg = Config{
 		LoadFactor:  rapid.SampledFrom([]float64{1, 1.1, 1.25, 2}).Draw(t, "c"),
 		MaxInFlight: rapid.IntRange(1, 6).Draw(t, "max"),
@@ -31,7 +32,7 @@
 	m.SetTargets(t)
 }
 
-func (m *machine) SetTargets(t *rapid.T) {
+func (m *cellModel) SetTargets(t *rapid.T) {
 	m.listed = m.listed[:0]
 	for i := range rapid.IntRange(0, 6).Draw(t, "n") {
 		m.listed = append(m.listed, Target{
@@ -43,12 +44,12 @@
 	m.c.SetTargets(m.listed)
 }
 
-func (m *machine) SetOthers(t *rapid.T) {
+func (m *cellModel) SetOthers(t *rapid.T) {
 	m.others = Totals{InFlight: rapid.IntRange(0, 20).Draw(t, "inflight"), Capacity: rapid.IntRange(0, 10).Draw(t, "capacity")}
 	m.c.SetOthers(m.others)
 }
 
-func (m *machine) Acquire(t *rapid.T) {
+func (m *cellModel) Acquire(t *rapid.T) {
 	a := drawAsk(t)
 	before := m.recount()
 	old, had := m.c.holds[a.Holder][a.Request]
@@ -85,14 +86,14 @@
 	is.True(before[v.Target]+1 <= m.cfg.MaxInFlight*tg.Capacity)
 }
 
-func (m *machine) Release(t *rapid.T) {
+func (m *cellModel) Release(t *rapid.T) {
 	a := drawAsk(t)
 	m.c.Release(a.Holder, a.Request)
 }
 
-func (m *machine) Forget(t *rapid.T) { m.c.Forget(drawAsk(t).Holder) }
+func (m *cellModel) Forget(t *rapid.T) { m.c.Forget(drawAsk(t).Holder) }
 
-func (m *machine) Resync(t *rapid.T) {
+func (m *cellModel) Resync(t *rapid.T) {
 	var holds []Hold
 	for range rapid.IntRange(0, 4).Draw(t, "holds") {
 		a := drawAsk(t)
@@ -104,8 +105,8 @@
 	m.c.Resync(drawAsk(t).Holder, holds)
 }
 
-// Check recounts the holds and compares.
-func (m *machine) Check(t *rapid.T) {
+// Check recounts the places and compares the counts of targets and workspaces.
+func (m *cellModel) Check(t *rapid.T) {
 	is := is.New(t)
 	counts := m.recount()
 	inFlight, seen := 0, 0
@@ -131,7 +132,7 @@
 	is.Equal(shares, all)
 }
 
-func (m *machine) recount() map[string]int {
+func (m *cellModel) recount() map[string]int {
 	counts := make(map[string]int)
 	for _, places := range m.c.holds {
 		for _, p := range places {
@@ -141,7 +142,7 @@
 	return counts
 }
 
-func (m *machine) target(id string) (Target, bool) {
+func (m *cellModel) target(id string) (Target, bool) {
 	for _, t := range m.listed {
 		if t.ID == id {
 			return t, true
@@ -169,15 +170,15 @@
 
 func TestCellKeepsBoundAndCounts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &machine{}
+		m := &cellModel{}
 		m.init(rt)
 		rt.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
-func TestResyncHealsAnyDrift(t *testing.T) {
+func TestResyncCorrectsAnyDrift(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &machine{}
+		m := &cellModel{}
 		m.init(rt)
 		for range rapid.IntRange(0, 30).Draw(rt, "asks") {
 			m.Acquire(rt)
@@ -192,12 +193,13 @@
 	})
 }
 
-// The order of preference: last target, home under the soft limit, room.
+// The order of preference: the last target; then, under the soft limit, the target with the
+// highest rendezvous rank; then, over the soft limit, the one with the most free capacity.
 func TestPlace(t *testing.T) {
 	targets := []Target{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}}
 	const chat = 7
 	order := rankOf(targets, chat)
-	home, second, third := order[0], order[1], order[2]
+	first, second, third := order[0], order[1], order[2]
 	for _, tt := range []struct {
 		name      string
 		load      map[string]int // requests in flight; the mean follows
@@ -206,13 +208,13 @@
 		exclude   []string
 		want      string
 	}{
-		{name: "idle pool goes home", want: home},
-		{name: "last target is preferred to home", last: third, load: map[string]int{third: 4, second: 4, home: 4}, want: third},
-		{name: "new chat isn't sent over the mean", load: map[string]int{home: 6, second: 4, third: 5}, want: second},
-		{name: "returning chat may go over the mean", load: map[string]int{home: 6, second: 4, third: 5}, returning: true, want: home},
-		{name: "full home sends a returning chat to the next", load: map[string]int{home: 9, second: 4, third: 2}, returning: true, want: second},
-		{name: "excluded last target isn't used", last: third, exclude: []string{third}, want: home},
-		{name: "full last target isn't used", last: third, load: map[string]int{home: 2, second: 2, third: 8}, want: home},
+		{name: "idle pool: highest rank", want: first},
+		{name: "last target is preferred to the highest rank", last: third, load: map[string]int{third: 4, second: 4, first: 4}, want: third},
+		{name: "new chat isn't placed above the mean", load: map[string]int{first: 6, second: 4, third: 5}, want: second},
+		{name: "returning chat may be placed above the mean", load: map[string]int{first: 6, second: 4, third: 5}, returning: true, want: first},
+		{name: "returning chat goes to the next rank if the first is full", load: map[string]int{first: 9, second: 4, third: 2}, returning: true, want: second},
+		{name: "excluded last target isn't used", last: third, exclude: []string{third}, want: first},
+		{name: "full last target isn't used", last: third, load: map[string]int{first: 2, second: 2, third: 8}, want: first},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -234,9 +236,9 @@
 	}
 }
 
-// However late and wrong the other cells' totals are, a cell that is asked last
-// places while a target has room.
-func TestLastIsPlacedWhileThereIsRoom(t *testing.T) {
+// Regardless of how late and wrong the totals of the other cells are, a cell that is asked
+// last grants while a target has free capacity.
+func TestLastCellGrantsWhileATargetHasCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := New(Config{LoadFactor: rapid.SampledFrom([]float64{1.05, 1.25}).Draw(rt, "c"), MaxInFlight: 20})
 		c.SetTargets([]Target{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "c", Capacity: 1}})
--- a/admission/cell/health.go
+++ b/admission/cell/health.go
@@ -6,41 +6,42 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// A target is suspended after maxFailures failed requests in a row, for a pause
-// that doubles from suspendMin to suspendMax, less up to half by jitter.
+// A target is suspended after maxFailures failed requests in a row, for a pause that doubles
+// from suspendMin to suspendMax, reduced by a jitter of up to half.
 const (
 	maxFailures = 3
 	suspendMin  = time.Second
 	suspendMax  = 30 * time.Second
-	// maxDoublings of suspendMin are at least suspendMax.
+	// Doubling suspendMin maxDoublings times reaches at least suspendMax.
 	maxDoublings = 5
-	// calm is how long a target must have been usable for its next pause to be
-	// short again.
-	calm = time.Minute
-	// maxSuspended is the largest share of the cell's capacity that may be
-	// suspended: if more fails, requests are better tried than refused.
+	// pauseResetAfter is how long a target must have been usable until its next pause starts at
+	// suspendMin again.
+	pauseResetAfter = time.Minute
+	// maxSuspended is the largest share of the cell's capacity that may be suspended. If more
+	// targets fail, sending requests to failing targets is better than refusing them.
 	maxSuspended = 0.5
-	// A target with at most idleShare of the mean in flight, or idleCount, has
-	// no cause to refuse for overload.
+	// A target with at most idleShare of the mean in flight, or at most idleCount requests (both
+	// per unit of capacity), isn't overloaded by this pool's requests: its refusal for overload
+	// counts as a failure.
 	idleShare = 0.5
 	idleCount = 4
 )
 
-// Result says how a request ended on its target.
+// Result is how a request ended on its target.
 type Result int
 
-// The results of a request.
+// Results of a request.
 const (
-	// Answered means that the target answered whole.
+	// Answered means that the target answered completely.
 	Answered Result = iota
-	// Failed means that the target couldn't be reached, lost the connection or
-	// said that it failed.
+	// Failed means that the target couldn't be reached, closed the connection or reported a
+	// failure.
 	Failed
-	// Unknown says nothing of the target: the caller went away, or the request
-	// wasn't sent for a reason of the node.
+	// Unknown gives no information about the target: the caller went away, or the request wasn't
+	// sent for a reason on the node's side.
 	Unknown
-	// Overloaded means that the target refused for overload. It counts as Failed
-	// where the target has far less in flight than the mean.
+	// Overloaded means that the target refused the request because of overload. It counts as
+	// Failed if the target has far less in flight than the mean.
 	Overloaded
 )
 
@@ -50,20 +51,20 @@
 	Pause  time.Duration
 }
 
-// health is the record of a target that failed of late. A suspended target's
-// pause is followed by a trial: one request at a time, until one is answered.
+// health is the record of a target that failed recently. After its pause a suspended target
+// gets trial requests, one at a time, until one is answered.
 type health struct {
 	incarnation int64
-	failures    int    // since the last answer; those of one chat in a row are one
+	failures    int    // since the last answer; consecutive failures of one chat count once
 	chat        uint64 // of the last failure
-	pauses      int    // without calm in between
+	pauses      int    // number of pauses since the last reset; see pauseResetAfter
 	suspended   bool
 	until       time.Time // end of the pause
-	eased       time.Time // end of the last suspension
-	trial       uint64    // number of the trial under way, or 0
+	resumedAt   time.Time // end of the last suspension
+	trial       uint64    // number of the trial request in flight, or 0
 }
 
-// fail counts a failure and says whether there are enough to suspend.
+// fail counts a failure and reports whether there are enough to suspend the target.
 func (t *health) fail(chat uint64) bool {
 	if t.failures == 0 || t.chat != chat {
 		t.failures++
@@ -74,7 +75,7 @@
 
 // suspend begins a pause and returns its length.
 func (t *health) suspend(now time.Time, key uint64) time.Duration {
-	if !t.suspended && now.Sub(t.eased) > calm {
+	if !t.suspended && now.Sub(t.resumedAt) > pauseResetAfter {
 		t.pauses = 0
 	}
 	longest := min(suspendMin<<min(t.pauses, maxDoublings), suspendMax)
@@ -85,24 +86,24 @@
 	return pause
 }
 
-// trialDue says whether a trial may begin.
+// trialDue reports whether a trial request may be sent.
 func (t *health) trialDue(now time.Time) bool {
 	return t.suspended && t.trial == 0 && !now.Before(t.until)
 }
 
-// succeed ends a suspension. It says whether the record is to be kept, for the
+// succeed ends a suspension. It reports whether the record must be kept to compute the
 // length of the next pause.
 func (t *health) succeed(now time.Time) bool {
 	if t.suspended {
-		t.eased = now
+		t.resumedAt = now
 	}
 	t.suspended, t.failures = false, 0
-	return t.pauses > 0 && now.Sub(t.eased) <= calm
+	return t.pauses > 0 && now.Sub(t.resumedAt) <= pauseResetAfter
 }
 
-// Report takes the result of a place that is about to be released, and returns
-// the suspension that it led to, if any. A failure counts only if this cell
-// granted the place, and to the present incarnation of the target.
+// Report records the result of a place that is about to be released, and returns the
+// suspension that it caused, if any. A failure counts only if this cell granted the place
+// and the target's incarnation is still the same.
 func (c *Cell) Report(now time.Time, h Holder, request string, r Result) (Suspension, bool) {
 	hold, ok := c.holds[h][request]
 	if !ok || r == Unknown {
@@ -140,10 +141,10 @@
 	return Suspension{s.id, t.suspend(now, s.key)}, true
 }
 
-// idle says whether a target has far less in flight than the mean, the place
-// that is being released included.
+// idle reports whether a target has far less in flight than the mean. The place that is
+// being released still counts.
 func (c *Cell) idle(i int) bool {
-	all := plus(c.own, c.others)
+	all := addTotals(c.own, c.others)
 	s := c.slots[i]
 	mean := float64(all.InFlight) / float64(max(all.Capacity, 1))
 	return float64(s.count) <= max(idleShare*mean, idleCount)*float64(s.capacity)
@@ -163,13 +164,14 @@
 	}
 }
 
-// maySuspend says whether that much more capacity may be suspended.
+// maySuspend reports whether that much more capacity may be suspended.
 func (c *Cell) maySuspend(capacity int) bool {
 	all := float64(c.own.Capacity + c.suspended)
 	return float64(c.suspended+capacity) <= maxSuspended*all
 }
 
-// setUsable moves a listed target into or out of what the mean is taken over.
+// setUsable adds a listed target to the targets that the mean is computed over, or removes
+// it.
 func (c *Cell) setUsable(i int, usable bool) {
 	s := &c.slots[i]
 	sign := 1
@@ -182,10 +184,10 @@
 	c.suspended -= sign * s.capacity
 }
 
-// keepHealth applies what is known to a new list of targets, of which all that
-// are listed are usable. An incarnation that is new, or a target that is gone
-// or leaving, starts without failures.
-func (c *Cell) keepHealth() {
+// restoreHealth applies the known failures and suspensions to a new list of targets, in
+// which all listed targets start as usable. A new incarnation, and a target that is gone or
+// leaving, starts without failures.
+func (c *Cell) restoreHealth() {
 	c.suspended = 0
 	known := c.health
 	c.health = make(map[string]*health)
@@ -205,8 +207,8 @@
 	}
 }
 
-// onTrial says whether a suspended target may get a request.
-func (c *Cell) onTrial(now time.Time, i int) bool {
+// trialAllowed reports whether a suspended target may get a trial request.
+func (c *Cell) trialAllowed(now time.Time, i int) bool {
 	s := &c.slots[i]
 	return s.listed && !s.usable && c.health[s.id].trialDue(now)
 }
@@ -223,7 +225,7 @@
 	}
 }
 
-// SuspendedTargets returns the number of targets that are suspended.
+// SuspendedTargets returns the number of suspended targets.
 func (c *Cell) SuspendedTargets() int {
 	n := 0
 	for _, t := range c.health {
--- a/admission/cell/health_test.go
+++ b/admission/cell/health_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// ward is a cell whose targets fail or answer as told.
-type ward struct {
+// testCell is a cell whose requests end with the results that the test gives.
+type testCell struct {
 	*Cell
 	now     time.Time
 	targets []Target
 	next    int
 }
 
-func newWard(targets int) *ward {
-	w := &ward{Cell: New(Config{LoadFactor: 100, NewFactor: 100, MaxInFlight: 1000}), now: epoch}
+func newTestCell(targets int) *testCell {
+	w := &testCell{Cell: New(Config{LoadFactor: 100, NewFactor: 100, MaxInFlight: 1000}), now: epoch}
 	for i := range targets {
 		w.targets = append(w.targets, Target{ID: string(rune('a' + i)), Capacity: 1, Incarnation: 1})
 	}
@@ -26,22 +26,22 @@
 	return w
 }
 
-// ask returns the request's name and its target. Each is of another chat.
-func (w *ward) ask(exclude ...string) (string, string) {
+// ask returns the request's name and its target. Each request is of another chat.
+func (w *testCell) ask(exclude ...string) (string, string) {
 	w.next++
 	name := fmt.Sprint(w.next)
 	v := w.Acquire(w.now, Ask{Request: name, Chat: uint64(w.next), Exclude: exclude})
 	return name, v.Target
 }
 
-func (w *ward) end(request string, r Result) (Suspension, bool) {
+func (w *testCell) end(request string, r Result) (Suspension, bool) {
 	s, ok := w.Report(w.now, Holder{}, request, r)
 	w.Release(Holder{}, request)
 	return s, ok
 }
 
-// on runs requests until one is on the target.
-func (w *ward) on(t interface{ Fatal(...any) }, target string) string {
+// runOn starts requests until one is on the target, and ends the others.
+func (w *testCell) runOn(t interface{ Fatal(...any) }, target string) string {
 	for range 1000 {
 		name, got := w.ask()
 		if got == target {
@@ -53,7 +53,7 @@
 	return ""
 }
 
-func (w *ward) gets(target string) bool {
+func (w *testCell) getsRequests(target string) bool {
 	for range 200 {
 		name, got := w.ask()
 		w.end(name, Unknown)
@@ -65,74 +65,74 @@
 }
 
 func TestSuspension(t *testing.T) {
-	fail := func(n int) func(*testing.T, *ward) {
-		return func(t *testing.T, w *ward) {
+	fail := func(n int) func(*testing.T, *testCell) {
+		return func(t *testing.T, w *testCell) {
 			for range n {
-				w.end(w.on(t, "a"), Failed)
+				w.end(w.runOn(t, "a"), Failed)
 			}
 		}
 	}
-	with := func(r Result) func(*testing.T, *ward) {
-		return func(t *testing.T, w *ward) { w.end(w.on(t, "a"), r) }
+	with := func(r Result) func(*testing.T, *testCell) {
+		return func(t *testing.T, w *testCell) { w.end(w.runOn(t, "a"), r) }
 	}
-	pass := func(d time.Duration) func(*testing.T, *ward) {
-		return func(_ *testing.T, w *ward) { w.now = w.now.Add(d) }
+	pass := func(d time.Duration) func(*testing.T, *testCell) {
+		return func(_ *testing.T, w *testCell) { w.now = w.now.Add(d) }
 	}
-	restart := func(_ *testing.T, w *ward) {
+	restart := func(_ *testing.T, w *testCell) {
 		w.targets[0].Incarnation++
 		w.SetTargets(w.targets)
 	}
-	lateFailures := func(t *testing.T, w *ward) {
+	lateFailures := func(t *testing.T, w *testCell) {
 		var running []string
 		for range maxFailures {
-			running = append(running, w.on(t, "a"))
+			running = append(running, w.runOn(t, "a"))
 		}
 		restart(t, w)
 		for _, name := range running {
 			w.end(name, Failed)
 		}
 	}
-	relist := func(_ *testing.T, w *ward) { w.SetTargets(w.targets) }
+	relist := func(_ *testing.T, w *testCell) { w.SetTargets(w.targets) }
 	for _, tt := range []struct {
 		name  string
-		steps []func(*testing.T, *ward)
-		want  bool // a gets requests
+		steps []func(*testing.T, *testCell)
+		want  bool // whether target a gets requests
 	}{
-		{"two failures", []func(*testing.T, *ward){fail(2)}, true},
-		{"three failures", []func(*testing.T, *ward){fail(3)}, false},
-		{"an answer in between", []func(*testing.T, *ward){fail(2), with(Answered), fail(2)}, true},
-		{"a refusal in between", []func(*testing.T, *ward){fail(2), with(Unknown), fail(1)}, false},
-		{"the pause is over", []func(*testing.T, *ward){fail(3), pass(suspendMin)}, true},
-		{"a failed trial", []func(*testing.T, *ward){fail(3), pass(suspendMin), fail(1)}, false},
-		{"a failed trial pauses for longer", []func(*testing.T, *ward){fail(3), pass(suspendMin), fail(1), pass(suspendMin - 1)}, false},
-		{"an answered trial", []func(*testing.T, *ward){fail(3), pass(suspendMin), with(Answered), fail(2)}, true},
-		{"a refused trial is no answer", []func(*testing.T, *ward){fail(3), pass(suspendMin), with(Unknown), fail(1)}, false},
-		{"a new incarnation", []func(*testing.T, *ward){fail(3), restart}, true},
-		{"failures before a new incarnation", []func(*testing.T, *ward){fail(2), restart, fail(2)}, true},
-		{"failures heard of after a new incarnation", []func(*testing.T, *ward){lateFailures}, true},
-		{"a new list of the same targets", []func(*testing.T, *ward){fail(3), relist}, false},
+		{"two failures", []func(*testing.T, *testCell){fail(2)}, true},
+		{"three failures", []func(*testing.T, *testCell){fail(3)}, false},
+		{"an answered request in between", []func(*testing.T, *testCell){fail(2), with(Answered), fail(2)}, true},
+		{"an unknown result in between", []func(*testing.T, *testCell){fail(2), with(Unknown), fail(1)}, false},
+		{"after the pause", []func(*testing.T, *testCell){fail(3), pass(suspendMin)}, true},
+		{"a failed trial", []func(*testing.T, *testCell){fail(3), pass(suspendMin), fail(1)}, false},
+		{"a failed trial leads to a longer pause", []func(*testing.T, *testCell){fail(3), pass(suspendMin), fail(1), pass(suspendMin - 1)}, false},
+		{"an answered trial", []func(*testing.T, *testCell){fail(3), pass(suspendMin), with(Answered), fail(2)}, true},
+		{"a trial of unknown result doesn't end the suspension", []func(*testing.T, *testCell){fail(3), pass(suspendMin), with(Unknown), fail(1)}, false},
+		{"a new incarnation", []func(*testing.T, *testCell){fail(3), restart}, true},
+		{"failures before a new incarnation", []func(*testing.T, *testCell){fail(2), restart, fail(2)}, true},
+		{"failures of the old incarnation reported after a new one", []func(*testing.T, *testCell){lateFailures}, true},
+		{"a new list of the same targets", []func(*testing.T, *testCell){fail(3), relist}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWard(4)
+			w := newTestCell(4)
 			for _, step := range tt.steps {
 				step(t, w)
 			}
-			is.New(t).Equal(w.gets("a"), tt.want)
+			is.New(t).Equal(w.getsRequests("a"), tt.want)
 		})
 	}
 }
 
-// A suspended target's capacity and requests don't count in the mean.
+// The capacity and requests of a suspended target don't count in the mean.
 func TestMeanIsOverUsableTargets(t *testing.T) {
 	is := is.New(t)
-	w := newWard(4)
-	running := w.on(t, "a")
+	w := newTestCell(4)
+	running := w.runOn(t, "a")
 	for range maxFailures {
-		w.end(w.on(t, "a"), Failed)
+		w.end(w.runOn(t, "a"), Failed)
 	}
 	is.Equal(w.Totals(), Totals{InFlight: 0, Capacity: 3})
-	w.end(running, Answered) // which ends the suspension, too
-	running = w.on(t, "a")
+	w.end(running, Answered) // which also ends the suspension
+	running = w.runOn(t, "a")
 	is.Equal(w.Totals(), Totals{InFlight: 1, Capacity: 4})
 	w.end(running, Unknown)
 	is.Equal(w.Totals(), Totals{Capacity: 4})
@@ -140,29 +140,30 @@
 
 func TestOneTrialAtATime(t *testing.T) {
 	is := is.New(t)
-	w := newWard(4)
+	w := newTestCell(4)
 	for range maxFailures {
-		w.end(w.on(t, "a"), Failed)
+		w.end(w.runOn(t, "a"), Failed)
 	}
 	w.now = w.now.Add(suspendMin)
-	trial := w.on(t, "a")
-	is.True(!w.gets("a"))
-	w.Resync(Holder{}, []Hold{{Request: trial, Target: "a"}}) // still there
-	is.True(!w.gets("a"))
-	w.Resync(Holder{}, nil) // ended, nobody knows how
-	is.True(w.gets("a"))
-	w.end(w.on(t, "a"), Answered)
-	w.on(t, "a")
-	is.True(w.gets("a"))
+	trial := w.runOn(t, "a")
+	is.True(!w.getsRequests("a"))
+	w.Resync(Holder{}, []Hold{{Request: trial, Target: "a"}}) // still in flight
+	is.True(!w.getsRequests("a"))
+	w.Resync(Holder{}, nil) // ended with an unknown result
+	is.True(w.getsRequests("a"))
+	w.end(w.runOn(t, "a"), Answered)
+	w.runOn(t, "a")
+	is.True(w.getsRequests("a"))
 }
 
-// When usable targets leave, suspended ones come back rather than exceed half.
+// When usable targets leave, suspended ones are put back in use, so that at most half of the
+// capacity is suspended.
 func TestLeavingTargetsEndSuspensions(t *testing.T) {
 	is := is.New(t)
-	w := newWard(4)
+	w := newTestCell(4)
 	for _, bad := range []string{"a", "b"} {
 		for range maxFailures {
-			w.end(w.on(t, bad), Failed)
+			w.end(w.runOn(t, bad), Failed)
 		}
 	}
 	is.Equal(w.SuspendedTargets(), 2)
@@ -172,31 +173,31 @@
 	w.check(is)
 }
 
-// A trial of an earlier suspension has no part in the next.
+// The result of a trial of an earlier suspension doesn't affect the next suspension.
 func TestOldTrial(t *testing.T) {
 	is := is.New(t)
-	w := newWard(4)
-	running := w.on(t, "a")
+	w := newTestCell(4)
+	running := w.runOn(t, "a")
 	suspend := func() string {
 		for range maxFailures {
-			w.end(w.on(t, "a"), Failed)
+			w.end(w.runOn(t, "a"), Failed)
 		}
 		w.now = w.now.Add(suspendMax)
-		return w.on(t, "a")
+		return w.runOn(t, "a")
 	}
 	old := suspend()
 	w.end(running, Answered)
 	suspend()
 	w.end(old, Failed)
-	is.True(!w.gets("a"))
+	is.True(!w.getsRequests("a"))
 	w.now = w.now.Add(suspendMax)
-	is.True(!w.gets("a")) // the new trial goes on
+	is.True(!w.getsRequests("a")) // the new trial is still in flight
 }
 
-// One chat whose requests break whatever runs them suspends nothing.
-func TestOneChatIsNoProof(t *testing.T) {
+// A chat whose requests fail on every target suspends none.
+func TestFailuresOfOneChatDontSuspend(t *testing.T) {
 	is := is.New(t)
-	w := newWard(2)
+	w := newTestCell(2)
 	for i := range 10 * maxFailures {
 		name := fmt.Sprint(i)
 		w.Acquire(w.now, Ask{Request: name, Chat: 1})
@@ -205,13 +206,13 @@
 	}
 }
 
-// Failures of places that another owner granted may be of an earlier
+// Failures of places that another owner granted don't count, since they may be of an earlier
 // incarnation.
 func TestFailuresOfOthersDontCount(t *testing.T) {
 	is := is.New(t)
-	w := newWard(2)
+	w := newTestCell(2)
 	for i := range w.targets {
-		w.targets[i].Incarnation = 0 // what a place of another owner has
+		w.targets[i].Incarnation = 0 // as in a place that another owner granted
 	}
 	w.SetTargets(w.targets)
 	for i := range 10 * maxFailures {
@@ -235,20 +236,20 @@
 			now = now.Add(pause)
 		}
 		is.True(h.succeed(now))
-		is.True(h.suspend(now.Add(calm), 0) > suspendMax/2-1)
+		is.True(h.suspend(now.Add(pauseResetAfter), 0) > suspendMax/2-1)
 		is.True(!h.succeed(now) || h.pauses > 0)
 		h.suspended = false
-		is.True(h.suspend(h.eased.Add(calm+1), 0) <= suspendMin)
+		is.True(h.suspend(h.resumedAt.Add(pauseResetAfter+1), 0) <= suspendMin)
 	})
 }
 
-// Whatever fails in whatever order: at most half of the capacity is suspended,
-// so that some target always gets the request; a target that has just answered
-// gets requests; and the totals are those of the usable targets.
-func TestHealthIsSafe(t *testing.T) {
+// For any order of failures: at most half of the capacity is suspended, so that some target
+// always gets the request; a target that has just answered gets requests; and the totals are
+// those of the usable targets.
+func TestSuspensionInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
-		w := newWard(rapid.IntRange(1, 6).Draw(rt, "targets"))
+		w := newTestCell(rapid.IntRange(1, 6).Draw(rt, "targets"))
 		for i := range w.targets {
 			w.targets[i].Capacity = rapid.IntRange(1, 3).Draw(rt, "capacity")
 		}
@@ -265,7 +266,7 @@
 				restarts := rapid.Bool().Draw(rt, "restarts")
 				if restarts {
 					w.targets[i].Incarnation++
-				} else if i > 0 { // one stays
+				} else if i > 0 { // one target never leaves
 					w.targets[i].Leaving = !w.targets[i].Leaving
 				}
 				w.SetTargets(w.targets)
@@ -279,7 +280,7 @@
 				}
 			default:
 				name, target := w.ask()
-				is.True(target != "") // fail open
+				is.True(target != "") // some target is always usable
 				running, on[name] = append(running, name), target
 			}
 			w.check(is)
@@ -287,12 +288,12 @@
 	})
 }
 
-func (w *ward) isSuspended(target string) bool {
+func (w *testCell) isSuspended(target string) bool {
 	s := w.slots[w.index[target]]
 	return s.listed && !s.usable
 }
 
-func (w *ward) check(is *is.I) {
+func (w *testCell) check(is *is.I) {
 	var usable Totals
 	suspended := 0
 	for _, s := range w.slots {
@@ -309,8 +310,8 @@
 	is.True(len(w.health) <= len(w.targets))
 }
 
-// A target that refuses for overload counts as failed only while it has far
-// less in flight than the mean.
+// A target that refuses because of overload counts as failed only while it has far less in
+// flight than the mean.
 func TestOverloaded(t *testing.T) {
 	for name, tt := range map[string]struct {
 		own  int // requests in flight on the target that refuses
@@ -322,18 +323,18 @@
 		"as the others": {own: 12, want: false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWard(4)
+			w := newTestCell(4)
 			for _, target := range w.targets[1:] {
 				for range 12 {
-					w.on(t, target.ID)
+					w.runOn(t, target.ID)
 				}
 			}
 			for range tt.own {
-				w.on(t, "a")
+				w.runOn(t, "a")
 			}
 			suspended := false
 			for range maxFailures {
-				_, now := w.end(w.on(t, "a"), Overloaded)
+				_, now := w.end(w.runOn(t, "a"), Overloaded)
 				suspended = suspended || now
 			}
 			is.New(t).Equal(suspended, tt.want)
--- a/admission/cell/memory.go
+++ b/admission/cell/memory.go
@@ -6,35 +6,35 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Recent says where a chat last ran.
+// Recent is the target on which a chat last ran.
 type Recent struct {
 	Chat   uint64        `json:"h"`
 	Target string        `json:"t"`
 	Age    time.Duration `json:"a"` // since it was placed there
 }
 
-// Memory holds the target on which each chat last ran, up to a number of
-// chats; the least recently placed is dropped first. An owner has one of its
-// cell, and an entry node may keep one of what it placed, to rebuild that of an
-// owner that is lost. It isn't safe for concurrent use.
+// Memory maps each chat to the target on which it last ran. It holds a limited number of
+// chats and evicts the least recently used first. An owner has one for its cell, and an
+// entry node may keep one of the chats that it placed, from which the owner's is rebuilt if
+// the owner is lost. It isn't safe for concurrent use.
 type Memory struct {
-	chats *simplelru.LRU[uint64, visit]
+	chats *simplelru.LRU[uint64, placement]
 }
 
-type visit struct {
+type placement struct {
 	target string
 	at     int64 // Unix time in milliseconds
 }
 
-// NewMemory returns a memory of at most size chats.
+// NewMemory returns a Memory of at most size chats.
 func NewMemory(size int) *Memory {
-	chats, _ := simplelru.NewLRU[uint64, visit](max(size, 1), nil)
+	chats, _ := simplelru.NewLRU[uint64, placement](max(size, 1), nil)
 	return &Memory{chats: chats}
 }
 
-// Put records that a chat was placed.
+// Put records the target on which a chat was placed.
 func (m *Memory) Put(now time.Time, chat uint64, target string) {
-	m.chats.Add(chat, visit{target: target, at: now.UnixMilli()})
+	m.chats.Add(chat, placement{target: target, at: now.UnixMilli()})
 }
 
 // Get returns the target on which a chat last ran.
@@ -43,8 +43,8 @@
 	return v.target, ok
 }
 
-// Recent returns the chats placed within maxAge on targets that keep accepts,
-// the oldest first.
+// Recent returns the chats placed within maxAge on targets for which keep returns true,
+// least recently used first.
 func (m *Memory) Recent(now time.Time, maxAge time.Duration, keep func(target string) bool) []Recent {
 	var out []Recent
 	for _, chat := range m.chats.Keys() {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Merge adds what another memory knows, where it is newer.
+// Merge adds the entries of another Memory that are newer than those already held.
 func (m *Memory) Merge(now time.Time, list []Recent) {
 	for _, r := range list {
 		at := now.Add(-r.Age)
--- a/admission/cell/memory_test.go
+++ b/admission/cell/memory_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// Whatever the order of the merges, the newest place of a chat wins.
+// In any order of merges, the newest entry of a chat is kept.
 func TestMergeKeepsNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ages := rapid.SliceOfNDistinct(rapid.IntRange(1, 1000), 1, 6, rapid.ID).Draw(rt, "ages")
@@ -48,7 +48,7 @@
 	is.Equal(got, []Recent{{Chat: 2, Target: "b", Age: time.Minute}})
 }
 
-// A new owner learns from lists of places only what it doesn't know better.
+// A Resync adds a chat's target to Memory only if the chat has no entry yet.
 func TestResyncRebuildsMemory(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
--- a/admission/cell/score_test.go
+++ b/admission/cell/score_test.go
@@ -29,14 +29,14 @@
 		want     int
 	}{
 		{"part of a request counts as one", 0.2, 1, 8, 1},
-		{"whole limit stays", 4, 1, 8, 4},
+		{"whole limit is unchanged", 4, 1, 8, 4},
 		{"rounded after the capacity", 1.3, 2, 8, 3},
 		{"hard limit caps", 9.5, 1, 8, 8},
 		{"hard limit grows with capacity", 20, 2, 8, 16},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := limits{hard: tt.hard}
-			is.New(t).Equal(l.of(tt.limit, tt.capacity), tt.want)
+			is.New(t).Equal(l.roundUp(tt.limit, tt.capacity), tt.want)
 		})
 	}
 }
@@ -47,11 +47,11 @@
 		a, b candidate
 		want bool
 	}{
-		{"home before room", candidate{tier: tierHome}, candidate{tier: tierRoom, room: 9, rank: 9}, true},
-		{"more room first", candidate{tier: tierRoom, room: 2}, candidate{tier: tierRoom, room: 1, rank: 9}, true},
-		{"rank breaks equal room", candidate{tier: tierRoom, room: 1, rank: 2}, candidate{tier: tierRoom, room: 1, rank: 1}, true},
-		{"higher rank first at home", candidate{tier: tierHome, rank: 1}, candidate{tier: tierHome, rank: 2}, false},
-		{"full is no candidate", candidate{rank: 9}, candidate{tier: tierRoom}, false},
+		{"under the soft limit first", candidate{tier: tierUnderSoft}, candidate{tier: tierOverSoft, free: 9, rank: 9}, true},
+		{"more free capacity first", candidate{tier: tierOverSoft, free: 2}, candidate{tier: tierOverSoft, free: 1, rank: 9}, true},
+		{"rank decides at equal free capacity", candidate{tier: tierOverSoft, free: 1, rank: 2}, candidate{tier: tierOverSoft, free: 1, rank: 1}, true},
+		{"higher rank first under the soft limit", candidate{tier: tierUnderSoft, rank: 1}, candidate{tier: tierUnderSoft, rank: 2}, false},
+		{"full target is no candidate", candidate{rank: 9}, candidate{tier: tierOverSoft}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(tt.a.better(&tt.b), tt.want) })
 	}
--- a/admission/cell/shares.go
+++ b/admission/cell/shares.go
@@ -6,9 +6,9 @@
 type shares struct {
 	active  map[string]share
 	weights float64 // sum over the active workspaces
-	// known are the weights of all workspaces seen: a list of places doesn't
-	// carry them.
-	known map[string]float64
+	// knownWeights are the weights of all workspaces seen so far, since the lists of a Resync
+	// don't carry them.
+	knownWeights map[string]float64
 }
 
 type share struct {
@@ -17,14 +17,14 @@
 }
 
 func newShares() shares {
-	return shares{active: make(map[string]share), known: make(map[string]float64)}
+	return shares{active: make(map[string]share), knownWeights: make(map[string]float64)}
 }
 
-// add counts n more requests of a workspace.
+// add counts n more requests of a workspace; n may be negative.
 func (s *shares) add(workspace string, n int) {
 	w, ok := s.active[workspace]
 	if !ok {
-		w.weight = orDefault(s.known[workspace], 1)
+		w.weight = orDefault(s.knownWeights[workspace], 1)
 		s.weights += w.weight
 	}
 	w.inFlight += n
@@ -39,7 +39,7 @@
 // setWeight sets the weight of a workspace; 0 means 1.
 func (s *shares) setWeight(workspace string, weight float64) {
 	weight = orDefault(weight, 1)
-	s.known[workspace] = weight
+	s.knownWeights[workspace] = weight
 	w, ok := s.active[workspace]
 	if !ok {
 		return
@@ -49,11 +49,11 @@
 	s.active[workspace] = w
 }
 
-// over says whether one more request takes a workspace beyond its weighted
-// share of a capacity that is divided among the active workspaces. A cell sees
-// a part of each workspace's requests, so the share has a margin: one request
-// and the standard deviation of a Poisson count.
-func (s *shares) over(workspace string, weight float64, capacity int) bool {
+// exceedsShare reports whether one more request takes a workspace beyond its weighted share
+// of a capacity that is divided among the active workspaces. A cell gets only a part of each
+// workspace's requests, so the share has a margin: one request and the standard deviation of
+// a Poisson count.
+func (s *shares) exceedsShare(workspace string, weight float64, capacity int) bool {
 	weight = orDefault(weight, 1)
 	w, ok := s.active[workspace]
 	weights := s.weights + weight - w.weight
--- a/admission/cell/trend.go
+++ b/admission/cell/trend.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// The pool's load is sampled each trendStep, and its decline is taken over the
-// last trendSteps samples.
+// The pool's load is sampled each trendStep, and its decline is computed over the last
+// trendSteps samples.
 const (
 	trendStep  = time.Second
 	trendSteps = 5
-	// horizon is how far ahead a decline is carried on: about as long as an
-	// engine at its bound takes to follow the mean down.
-	horizon = 7 * time.Second
-	// noiseFactor times the standard deviation of the difference of two Poisson
-	// counts is taken for noise.
+	// forecastHorizon is how far ahead a decline is extrapolated: about as long as an engine at
+	// its bound takes to follow the falling mean.
+	forecastHorizon = 7 * time.Second
+	// A decline of up to noiseFactor times the standard deviation of the difference of two
+	// Poisson counts is treated as noise.
 	noiseFactor = 1.5
 )
 
-// trend follows the pool's load, so that a fast fall of the mean, such as the
-// end of a surge, doesn't leave targets that were filled to the old bound far
+// trend extrapolates a decline of the pool's load. When the mean falls fast, for example at
+// the end of a surge, targets that were filled to the old bound would otherwise be left far
 // above the new mean.
 type trend struct {
 	last    time.Time
@@ -44,8 +44,8 @@
 	t.n++
 }
 
-// forecast is the share of the present mean that is left after the horizon.
-// It is at most 1: a rise is never carried on.
+// forecast returns the share of the present mean that is expected to remain after
+// forecastHorizon. It is at most 1, since a rise is never extrapolated, and at least 0.5.
 func (t *trend) forecast() float64 {
 	if t.n < len(t.samples) || t.samples[0] == 0 {
 		return 1
@@ -53,5 +53,5 @@
 	first := float64(t.samples[0])
 	fall := 1 - float64(t.samples[trendSteps])/first - noiseFactor*math.Sqrt(2/first)
 	rate := fall / (trendSteps * trendStep.Seconds())
-	return 1 - min(max(rate, 0)*horizon.Seconds(), 0.5)
+	return 1 - min(max(rate, 0)*forecastHorizon.Seconds(), 0.5)
 }
--- a/admission/cell/trust.go
+++ b/admission/cell/trust.go
@@ -5,102 +5,102 @@
 	"time"
 )
 
-// minHeard is the share of the holders that must have been heard before an
+// minReported is the share of the holders that must have reported their places before an
 // owner that took over grants anything.
-const minHeard = 0.5
+const minReported = 0.5
 
-// trust says how far the counts can be relied on. An owner that took over, or
-// was paused, waits for its holders; the requests of those it hasn't heard are
-// estimated from those it has, since callers spread evenly over the nodes.
-type trust struct {
+// recovery tracks how complete the counts are. An owner that took over, or was paused, waits
+// for its holders to report their places. Callers spread evenly over the nodes, so the
+// requests of holders that haven't reported are estimated from those that have.
+type recovery struct {
 	waiting  map[Holder]bool
-	heard    int
+	reported int
 	lastTick time.Time
 }
 
-// Takeover begins a wait for the places of the holders, which the caller asks
-// to Resync even if they have none. Until half of them are heard the cell
-// grants nothing.
+// Takeover begins to wait for the places of the holders. The caller must ask each of them to
+// Resync, even if it has none. The cell grants nothing until half of them have reported.
 func (c *Cell) Takeover(holders []Holder) {
-	c.trust.waiting = make(map[Holder]bool, len(holders))
-	c.trust.heard = 0
+	c.recovery.waiting = make(map[Holder]bool, len(holders))
+	c.recovery.reported = 0
 	for _, h := range holders {
-		c.trust.waiting[h] = true
+		c.recovery.waiting[h] = true
 	}
 }
 
-// Recovering says that too few holders have been heard since the Takeover, so
-// that the cell grants nothing and its Totals mean nothing.
-func (c *Cell) Recovering() bool { return c.trust.recovering() }
+// Recovering reports whether too few holders have reported since the Takeover, so that the
+// cell grants nothing and its Totals can't be used.
+func (c *Cell) Recovering() bool { return c.recovery.recovering() }
 
-// EndTakeover stops waiting: holders that haven't answered are taken to have
-// nothing in flight.
-func (c *Cell) EndTakeover() { c.trust.waiting = nil }
+// EndTakeover stops waiting. Holders that haven't reported are assumed to have nothing in
+// flight.
+func (c *Cell) EndTakeover() { c.recovery.waiting = nil }
 
-// Excuse stops waiting for a holder, for example of a node that seems dead, and
-// keeps the places that it is known to have.
-func (c *Cell) Excuse(h Holder) { c.trust.drop(h) }
+// Excuse stops waiting for a holder, for example of a node that seems dead, and keeps the
+// places already counted for it.
+func (c *Cell) Excuse(h Holder) { c.recovery.stopWaiting(h) }
 
-// Waiting returns the holders that haven't been heard since the Takeover.
+// Waiting returns the holders that haven't reported since the Takeover.
 func (c *Cell) Waiting() []Holder {
-	out := make([]Holder, 0, len(c.trust.waiting))
-	for h := range c.trust.waiting {
+	out := make([]Holder, 0, len(c.recovery.waiting))
+	for h := range c.recovery.waiting {
 		out = append(out, h)
 	}
 	return out
 }
 
-// Tick tells the cell that its process runs; call it several times within
-// MaxPause. After a longer gap other owners may have granted places, so the
-// cell begins a takeover from the holders it knows; Waiting names them. An
-// owner that never calls Tick is taken to run.
+// Tick records that the owner's process is running; call it several times within MaxPause.
+// After a longer gap other owners may have granted places, so the cell begins a takeover
+// from its present holders, which Waiting returns. An owner that never calls Tick is assumed
+// to run without pauses.
 func (c *Cell) Tick(now time.Time) {
 	c.checkPause(now)
-	c.trust.lastTick = now
+	c.recovery.lastTick = now
 }
 
 func (c *Cell) checkPause(now time.Time) {
-	last := c.trust.lastTick
+	last := c.recovery.lastTick
 	if last.IsZero() || now.Sub(last) <= c.cfg.MaxPause {
 		return
 	}
-	c.trust.lastTick = now
+	c.recovery.lastTick = now
 	c.Takeover(c.Holders())
 }
 
-func (t *trust) hear(h Holder) {
+func (t *recovery) markReported(h Holder) {
 	if t.waiting[h] {
 		delete(t.waiting, h)
-		t.heard++
+		t.reported++
 	}
 }
 
-func (t *trust) drop(h Holder) { delete(t.waiting, h) }
+func (t *recovery) stopWaiting(h Holder) { delete(t.waiting, h) }
 
-// recovering says whether too few holders have been heard to grant anything.
-func (t *trust) recovering() bool {
-	all := t.heard + len(t.waiting)
-	return len(t.waiting) > 0 && float64(t.heard) < minHeard*float64(all)
+// recovering reports whether too few holders have reported to grant anything.
+func (t *recovery) recovering() bool {
+	all := t.reported + len(t.waiting)
+	return len(t.waiting) > 0 && float64(t.reported) < minReported*float64(all)
 }
 
-// estimating says whether counts stand for holders that haven't been heard.
-func (t *trust) estimating() bool { return len(t.waiting) > 0 && !t.recovering() }
+// estimating reports whether the counts are extrapolated to holders that haven't reported.
+func (t *recovery) estimating() bool { return len(t.waiting) > 0 && !t.recovering() }
 
-// scale estimates a count from the holders that have been heard, rounded up.
-func (t *trust) scale(count int) int {
+// extrapolate estimates a total from the count of the holders that have reported, rounded
+// up.
+func (t *recovery) extrapolate(count int) int {
 	if !t.estimating() {
 		return count
 	}
-	return (count*(t.heard+len(t.waiting)) + t.heard - 1) / t.heard
+	return (count*(t.reported+len(t.waiting)) + t.reported - 1) / t.reported
 }
 
-// cautious is scale with one standard deviation of the requests that haven't
-// been heard of, taken as Poisson.
-func (t *trust) cautious(count int) int {
+// upperEstimate is extrapolate plus one standard deviation of the requests of holders that
+// haven't reported, taken as Poisson.
+func (t *recovery) upperEstimate(count int) int {
 	if !t.estimating() {
 		return count
 	}
-	ratio := float64(len(t.waiting)) / float64(t.heard)
-	unheard := float64(count) * ratio
-	return int(math.Ceil(float64(count) + unheard + math.Sqrt(unheard*(1+ratio))))
+	ratio := float64(len(t.waiting)) / float64(t.reported)
+	missing := float64(count) * ratio
+	return int(math.Ceil(float64(count) + missing + math.Sqrt(missing*(1+ratio))))
 }
--- a/admission/cell/trust_test.go
+++ b/admission/cell/trust_test.go
@@ -37,10 +37,10 @@
 		name string
 		end  func(c *Cell, all []Holder)
 	}{
-		{"by hearing all", func(c *Cell, all []Holder) { c.Resync(all[0], nil); c.Resync(all[1], nil) }},
-		{"by forgetting the dead", func(c *Cell, all []Holder) { c.Forget(all[0]); c.Forget(all[1]) }},
-		{"by excusing the silent", func(c *Cell, all []Holder) { c.Excuse(all[0]); c.Excuse(all[1]) }},
-		{"by decree", func(c *Cell, _ []Holder) { c.EndTakeover() }},
+		{"all holders reported", func(c *Cell, all []Holder) { c.Resync(all[0], nil); c.Resync(all[1], nil) }},
+		{"dead holders dropped", func(c *Cell, all []Holder) { c.Forget(all[0]); c.Forget(all[1]) }},
+		{"silent holders excused", func(c *Cell, all []Holder) { c.Excuse(all[0]); c.Excuse(all[1]) }},
+		{"ended by EndTakeover", func(c *Cell, _ []Holder) { c.EndTakeover() }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -68,8 +68,8 @@
 	is.Equal(c.Totals().InFlight, 0)
 }
 
-// The estimate during a takeover is at least what was heard, grows with what
-// wasn't, and ends exact.
+// The estimate during a takeover is never less than the reported places, includes an
+// estimate for the holders that haven't reported, and ends exact.
 func TestTakeoverEstimate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(rt, "nodes")
@@ -79,39 +79,40 @@
 		all := nodes(n)
 		c.Takeover(all)
 		is := is.New(rt)
-		for heard, h := range all {
+		for reported, h := range all {
 			var holds []Hold
 			for i := range each {
 				holds = append(holds, Hold{Request: fmt.Sprint(i), Target: "a"})
 			}
 			c.Resync(h, holds)
-			is.True(c.Totals().InFlight >= each*(heard+1))
-			is.Equal(c.Recovering(), 2*(heard+1) < n)
+			is.True(c.Totals().InFlight >= each*(reported+1))
+			is.Equal(c.Recovering(), 2*(reported+1) < n)
 			if !c.Recovering() {
-				is.Equal(c.Totals().InFlight, each*n) // even callers: exact at once
+				is.Equal(c.Totals().InFlight, each*n) // all nodes hold the same number: exact at once
 			}
 		}
 	})
 }
 
-// An owner that has heard only a part leaves room for what it can't know.
-func TestTakeoverIsCautious(t *testing.T) {
+// An owner to which only some holders have reported leaves capacity free for the places of
+// the others.
+func TestTakeoverEstimateHasMargin(t *testing.T) {
 	for _, tt := range []struct {
-		name                  string
-		waiting, heard, count int
-		want                  int
+		name                     string
+		waiting, reported, count int
+		want                     int
 	}{
-		{"all heard", 0, 4, 9, 9},
-		{"half heard: 9 more, and the root of 9 x 2", 4, 4, 9, 23},
+		{"all reported", 0, 4, 9, 9},
+		{"half reported: 9 more, and the root of 9 x 2", 4, 4, 9, 23},
 		{"three quarters: 3 more, and the root of 3 x 4/3", 1, 3, 9, 14},
-		{"nothing heard of", 4, 4, 0, 0},
+		{"no places reported", 4, 4, 0, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			tr := trust{heard: tt.heard, waiting: make(map[Holder]bool)}
+			tr := recovery{reported: tt.reported, waiting: make(map[Holder]bool)}
 			for _, h := range nodes(tt.waiting) {
 				tr.waiting[h] = true
 			}
-			is.New(t).Equal(tr.cautious(tt.count), tt.want)
+			is.New(t).Equal(tr.upperEstimate(tt.count), tt.want)
 		})
 	}
 }
@@ -123,7 +124,7 @@
 		ask   time.Duration
 		want  Outcome
 	}{
-		{"an owner that never ticks is trusted", nil, time.Hour, Granted},
+		{"an owner that never ticks is assumed to run", nil, time.Hour, Granted},
 		{"regular ticks", []time.Duration{0, time.Second, 2 * time.Second}, 3 * time.Second, Granted},
 		{"an ask after a pause, before the next tick", []time.Duration{0}, 10 * time.Second, Full},
 		{"an ask after the tick that ends a pause", []time.Duration{0, 10 * time.Second}, 10 * time.Second, Full},
--- a/admission/cell/types.go
+++ b/admission/cell/types.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Target is a target of the cell.
+// Target is one target of the cell.
 type Target struct {
 	ID       string
 	Capacity int // relative to other targets; at least 1
 	Leaving  bool
-	// Incarnation grows with each start of the target's process.
+	// Incarnation increases with each start of the target's process.
 	Incarnation int64
 }
 
-// Config is what the pool's settings say. The zero value of an optional field
-// means its default.
+// Config holds the pool's settings. The zero value of an optional field means its default.
 type Config struct {
-	LoadFactor  float64 // c; the bound is ceil(c × mean × capacity)
-	MaxInFlight int     // most requests a target of capacity 1 may run
-	// NewFactor is the load factor that holds for chats without a known
-	// prefix, so that room is left for chats that return. Optional.
+	LoadFactor  float64 // c; a target's bound is ceil(c × mean load × capacity)
+	MaxInFlight int     // most requests in flight on a target of capacity 1
+	// NewFactor is the load factor for chats without a known prefix (a cached beginning of the
+	// conversation on a target). It is lower than LoadFactor, so that capacity is left for chats
+	// that return to their prefix. Optional.
 	NewFactor float64
-	// Reserve is the share of the pool's hard capacity (MaxInFlight × capacity)
-	// kept from requests of the least urgency, and again from workspaces that
-	// are over their fair share; negative means none. Optional.
+	// Reserve is the share of the pool's hard capacity (MaxInFlight × capacity) that requests of
+	// the lowest urgency may not use, and that workspaces over their fair share may not use
+	// either; the two add up. Negative means none. Optional.
 	Reserve float64
-	// Memory is the number of chats whose last target is remembered. Optional.
+	// Memory is the number of chats whose last target is kept. Optional.
 	Memory int
-	// MaxPause is the longest time between two calls of Tick after which the
-	// cell still trusts its counts. Optional.
+	// MaxPause is the longest time between two calls of Tick after which the cell still relies
+	// on its counts. Optional.
 	MaxPause time.Duration
 }
 
@@ -44,13 +44,14 @@
 	Capacity int // sum over the targets that aren't leaving
 }
 
-// Holder names one run of a node; a node that restarts is another holder.
+// Holder identifies one run of a node that holds places. A node that restarts is another
+// holder.
 type Holder struct {
 	Node        string
 	Incarnation int64
 }
 
-// Ask asks for a place.
+// Ask is a request for a place: the right to run one request on a target of the cell.
 type Ask struct {
 	Holder    Holder
 	Request   string
@@ -59,47 +60,45 @@
 	Weight    float64 // 0 means 1
 	Urgency   int     // RFC 9218: 0 highest to 7 lowest
 	Exclude   []string
-	// Returning says that the chat has run before, as far as the caller knows.
+	// Returning is set if the chat has had an answer before, as far as the caller can tell.
 	Returning bool
-	// Last says that no other cell is left to ask. Since the means of other
-	// cells are late, the cell with the least load then goes by its own mean
-	// where that is higher, and refuses only at MaxInFlight.
+	// Last is set if no other cell is left to ask. The means of other cells arrive late, so the
+	// last cell, usually the one with the least load, then uses its own mean where that is higher,
+	// and refuses only at MaxInFlight.
 	Last bool
 }
 
 // Outcome is the kind of a Verdict.
 type Outcome int
 
-// The outcomes of an Ask.
+// Outcomes of an Ask.
 const (
 	Granted Outcome = iota
-	// Full means that no target of the cell is under its bound: ask the
-	// owner of another cell.
+	// Full means that no target of the cell is under its bound: ask the owner of another cell.
 	Full
-	// Refused means that the caller is to be refused, whatever other cells say.
+	// Refused means that the request must be refused without asking other cells.
 	Refused
 )
 
-// Reason says why a Verdict is not Granted.
+// Reason is why a Verdict is not Granted.
 type Reason int
 
-// The reasons of a Verdict.
+// Reasons of a Verdict.
 const (
 	ReasonNone Reason = iota
-	// ReasonSaturated means that the pool has no room for this urgency.
+	// ReasonSaturated means that the pool has no capacity left for this urgency.
 	ReasonSaturated
-	// ReasonWorkspaceLimit means that the pool is nearly full and the
-	// workspace uses more than its weighted share.
+	// ReasonWorkspaceLimit means that the pool is nearly full and the workspace uses more than
+	// its weighted share.
 	ReasonWorkspaceLimit
-	// ReasonNoTarget means that every target of the cell is gone, leaving or
-	// excluded.
+	// ReasonNoTarget means that every target of the cell is gone, leaving or excluded.
 	ReasonNoTarget
-	// ReasonRecovering means that the owner doesn't know enough of its
-	// holders to count.
+	// ReasonRecovering means that, after a takeover, too few holders have reported their places
+	// for the counts to be usable.
 	ReasonRecovering
 )
 
-// String returns the metric label of the reason.
+// String returns the reason's metric label.
 func (r Reason) String() string {
 	switch r {
 	case ReasonSaturated:
@@ -114,7 +113,7 @@
 	return "none"
 }
 
-// Verdict answers an Ask.
+// Verdict is the answer to an Ask.
 type Verdict struct {
 	Outcome    Outcome
 	Target     string
@@ -122,19 +121,19 @@
 	RetryAfter time.Duration // set unless Granted
 }
 
-// Hold is one place that a holder says it has.
+// Hold is one place as its holder reports it.
 type Hold struct {
 	Request   string
 	Target    string
 	Workspace string
 	Chat      uint64
 
-	ownRecord
+	grantRecord
 }
 
-// ownRecord is what a cell knows of a place that it granted itself.
-type ownRecord struct {
+// grantRecord is what a cell stores about a place that it granted itself.
+type grantRecord struct {
 	granted     bool
-	trial       uint64 // number of the trial of a suspended target, or 0
-	incarnation int64  // of the target
+	trial       uint64 // number of the trial request to a suspended target, or 0
+	incarnation int64  // of the target when the place was granted
 }
