--- a/admission/ask.go
+++ b/admission/ask.go
@@ -92,7 +92,7 @@
 	m := holds.Acquire{
 		From: s.self, Key: k, Seq: seq, Chat: e.request.Chat, Workspace: workspaceName(e.request),
 		Weight: e.request.Workspace.Weight, Urgency: e.request.Priority, Exclude: exclude,
-		Returning: e.request.Returning, Last: e.last(), Left: s.leavers(),
+		Returning: e.request.Returning, Last: e.last(), LeavingNodes: s.leavers(),
 	}
 	if m.Weight == 1 {
 		m.Weight = 0
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -146,7 +146,7 @@
 	}
 	k := e.plan.keyOf(holds.Key{Pool: r.Pool.Pool, Region: e.region}, t.ID)
 	owner, _ := e.plan.owner(k)
-	seq := s.table.Take(s.now(), k, holderOf(owner), holds.Detail{Target: t.ID, Workspace: workspaceName(r), Chat: r.Chat})
+	seq := s.table.AddUngranted(s.now(), k, holderOf(owner), holds.Detail{Target: t.ID, Workspace: workspaceName(r), Chat: r.Chat})
 	return e.grant(place{key: k, seq: seq, target: t, done: done}, outcomeFallback), nil
 }
 
--- a/admission/holds/messages.go
+++ b/admission/holds/messages.go
@@ -1,7 +1,8 @@
-// Package holds keeps count of who holds which place on a target: the owner's
-// record of one cell, and the table of a node's own places. It also defines
-// the messages that keep the two equal. The package does no I/O and reads no
-// clock; lost, repeated and late messages leave the record correct.
+// Package holds keeps the record of which node holds which places on the targets of a cell.
+// A place is the right to run one request on a target. The package has the record of a cell
+// at its owner (Owner), the table of the places that a node holds itself (Table), and the
+// messages by which the owner's record follows the nodes' tables. It does no I/O and reads
+// no clock. Lost, repeated and late messages leave the record correct.
 package holds
 
 import (
@@ -13,35 +14,35 @@
 	"github.com/knapweedgw/knapweedgw/admission/cell"
 )
 
-// Key names a cell of a pool's targets in one region. Region stays off the
-// wire: a node only owns cells of its own region.
+// Key identifies a cell of a pool's targets in one region. Region isn't sent to other nodes,
+// since a node only owns cells of its own region.
 type Key struct {
 	Pool   string `json:"p"`
 	Region string `json:"-"`
 	Cell   int    `json:"c,omitempty"`
-	Of     int    `json:"o"` // number of cells; two nodes that differ don't share counts
+	Of     int    `json:"o"` // number of cells in the pool; nodes with different numbers don't share counts
 }
 
-// From names one run of the sending node.
+// From identifies the run of the node that sends a message.
 type From struct {
 	Node        string `json:"n"`
 	Incarnation int64  `json:"i"`
 }
 
-// Holder returns the sender as the cell knows it.
+// Holder returns the sender as package cell names it.
 func (f From) Holder() cell.Holder { return cell.Holder(f) }
 
 // Code is the outcome of an Acquire.
 type Code int
 
-// The outcomes of an Acquire.
+// Outcomes of an Acquire.
 const (
 	Granted Code = iota
 	Full
 	Refused
-	// NotOwner means that the answering node's view has another owner.
+	// NotOwner means that the cell has another owner in the answering node's view.
 	NotOwner
-	// Stale means that the asking node had given this ask up before it came.
+	// Stale means that the asking node had canceled this ask before it arrived.
 	Stale
 )
 
@@ -56,23 +57,25 @@
 	Urgency   int      `json:"u"`
 	Exclude   []string `json:"x,omitempty"`
 	Returning bool     `json:"y,omitempty"`
-	// Last says that no other cell is left to ask.
+	// Last is set if no other cell is left to ask.
 	Last bool `json:"b,omitempty"`
-	// Left are nodes that the asking node knows to hand their cells over.
-	Left []From `json:"z,omitempty"`
+	// LeavingNodes are the nodes that, as far as the sender has learned, hand their cells over
+	// to other owners.
+	LeavingNodes []From `json:"z,omitempty"`
 }
 
-// Reply answers an Acquire.
+// Reply is the answer to an Acquire.
 type Reply struct {
 	Code         Code        `json:"k,omitempty"`
 	Reason       cell.Reason `json:"s,omitempty"`
 	Target       string      `json:"t,omitempty"`
 	RetryAfterMS int64       `json:"a,omitempty"`
-	// Owner is the owner in the view of the answering node (NotOwner).
+	// Owner is the cell's owner in the answering node's view. It is set with NotOwner.
 	Owner string `json:"o,omitempty"`
-	// Leaving means that the answering node hands its cells over.
+	// Leaving means that the answering node hands its cells over to other owners.
 	Leaving bool `json:"l,omitempty"`
-	// Least is 1 + the cell that had the least load, or 0 (Full).
+	// Least is 1 + the index of the pool's other cell with the least load, or 0 if none is
+	// known. It is set with Full.
 	Least int `json:"m,omitempty"`
 }
 
@@ -80,8 +83,8 @@
 type Released struct {
 	Key
 	Seqs Seqs `json:"q"`
-	// Failed, Unknown and Overloaded are those of Seqs that their target didn't
-	// answer; see cell.Result.
+	// Failed, Unknown and Overloaded are the subsets of Seqs with these results; see
+	// cell.Result. All other places of Seqs ended with cell.Answered.
 	Failed     Seqs `json:"f,omitempty"`
 	Unknown    Seqs `json:"v,omitempty"`
 	Overloaded Seqs `json:"z,omitempty"`
@@ -100,7 +103,7 @@
 	}
 }
 
-// Sort puts the numbers in the order that their encoding needs.
+// Sort sorts the sequence numbers, as their encoding requires.
 func (r *Released) Sort() {
 	slices.Sort(r.Seqs)
 	slices.Sort(r.Failed)
@@ -108,7 +111,7 @@
 	slices.Sort(r.Overloaded)
 }
 
-// result returns how a place of Seqs ended.
+// result returns the result of a place of Seqs.
 func (r *Released) result(seq uint64) cell.Result {
 	if _, ok := slices.BinarySearch(r.Failed, seq); ok {
 		return cell.Failed
@@ -122,7 +125,7 @@
 	return cell.Answered
 }
 
-// Release tells an owner of ended places.
+// Release reports ended places to an owner.
 type Release struct {
 	From
 	Cells []Released `json:"e"`
@@ -136,28 +139,30 @@
 	Chat      uint64 `json:"h"`
 }
 
-// Resync is all that a node holds of one cell at sequence number At.
+// Resync lists all places that a node holds in one cell at sequence number At.
 type Resync struct {
 	From
 	Key
 	At uint64 `json:"s"`
-	// Held are the places that the owner should already know.
+	// Held are the places that the owner should already have recorded.
 	Held Seqs `json:"q,omitempty"`
-	// Pending are asks that have no answer yet.
+	// Pending are the asks that have no answer yet.
 	Pending Seqs `json:"w,omitempty"`
-	// Details are the places that the owner may not know.
+	// Details are the places that the owner may not have recorded.
 	Details []Detail `json:"d,omitempty"`
-	// Recent says where chats ran of late; only in answer to a Pull.
+	// Recent lists the targets on which chats ran recently. It is set only in the answer to a
+	// Pull.
 	Recent []cell.Recent `json:"r,omitempty"`
 }
 
-// ResyncReply names the places of Resync.Held that the owner doesn't know.
+// ResyncReply is the answer to a Resync. Missing are the places of Resync.Held that the
+// owner hasn't recorded.
 type ResyncReply struct {
 	NotOwner bool `json:"o,omitempty"`
 	Missing  Seqs `json:"m,omitempty"`
 }
 
-// Pull asks a node for its places of a cell.
+// Pull asks a node for the places that it holds in a cell.
 type Pull struct {
 	From
 	Key
@@ -170,15 +175,15 @@
 	Capacity int `json:"a"`
 }
 
-// Totals tells the owners of a pool's other cells the load of some cells.
+// Totals announces the load of some of a pool's cells to the owners of its other cells.
 type Totals struct {
 	From
 	Seq   uint64       `json:"s"`
 	Cells []CellTotals `json:"e"`
 }
 
-// Seqs is an ascending list of sequence numbers; on the wire each is the
-// difference from the one before.
+// Seqs is an ascending list of sequence numbers. It is encoded as the differences between
+// successive numbers.
 type Seqs []uint64
 
 // MarshalJSON implements json.Marshaler.
--- a/admission/holds/owner.go
+++ b/admission/holds/owner.go
@@ -15,18 +15,19 @@
 	holders map[cell.Holder]*holder
 }
 
-// holder is what the owner knows of one run of a node.
+// holder is the record of one run of a node that holds places.
 type holder struct {
-	heard time.Time
-	// top is the largest sequence number asked with; base is what it was when
-	// places were last dropped unheard. An ask at or below base is over.
-	top, base uint64
-	// floor is the sequence number of the newest resync. An ask at or below
-	// it is over unless that resync listed it as pending.
-	floor   uint64
-	pending map[uint64]struct{}
-	// ended are asks whose release was heard and that a late ask or an older
-	// resync must not bring back.
+	lastMessage time.Time
+	// maxSeq is the largest sequence number of an ask from this holder. resetSeq is the value of
+	// maxSeq when its places were last dropped because nothing arrived from it. An ask at or
+	// below resetSeq is stale.
+	maxSeq, resetSeq uint64
+	// resyncSeq is the sequence number of the newest resync. An ask at or below it is stale
+	// unless that resync listed it as pending.
+	resyncSeq uint64
+	pending   map[uint64]struct{}
+	// ended are the asks whose release has arrived. A late ask or an older resync must not add
+	// their places again.
 	ended map[uint64]struct{}
 	holds map[uint64]cell.Hold
 }
@@ -54,7 +55,7 @@
 // Totals returns the load of the cell.
 func (o *Owner) Totals() cell.Totals { return o.cell.Totals() }
 
-// Places returns the number of places known.
+// Places returns the number of recorded places.
 func (o *Owner) Places() int {
 	n := 0
 	for _, h := range o.holders {
@@ -63,18 +64,20 @@
 	return n
 }
 
-// Takeover begins a wait for the places of the given holders; until it ends
-// the cell is careful. It ends when all were heard or with EndTakeover.
+// Takeover begins to wait for the places of the given holders. Until the wait ends, the cell
+// grants nothing or counts estimates with a safety margin; see cell.Cell. The wait ends when
+// all holders have reported or with EndTakeover.
 func (o *Owner) Takeover(holders []cell.Holder) { o.cell.Takeover(holders) }
 
-// Recovering says that too few holders were heard to count.
+// Recovering reports whether too few holders have reported for the cell to grant places.
 func (o *Owner) Recovering() bool { return o.cell.Recovering() }
 
-// Remember adds where a node's chats last ran to the cell's memory.
-func (o *Owner) Remember(now time.Time, recent []cell.Recent) { o.cell.Memory().Merge(now, recent) }
+// MergeRecent adds the targets on which a node's chats last ran to the cell's Memory.
+func (o *Owner) MergeRecent(now time.Time, recent []cell.Recent) { o.cell.Memory().Merge(now, recent) }
 
-// Heard ends the wait for a holder that answered under another incarnation.
-func (o *Owner) Heard(h cell.Holder) {
+// EndWait ends the wait for a holder whose node has answered, if the answer came from
+// another run of the node.
+func (o *Owner) EndWait(h cell.Holder) {
 	if _, known := o.holders[h]; !known && slices.Contains(o.cell.Waiting(), h) {
 		o.cell.Forget(h)
 	}
@@ -83,22 +86,22 @@
 // EndTakeover stops waiting.
 func (o *Owner) EndTakeover() { o.cell.EndTakeover() }
 
-// Waiting returns the holders that haven't been heard since the takeover.
+// Waiting returns the holders that haven't reported since the takeover.
 func (o *Owner) Waiting() []cell.Holder { return o.cell.Waiting() }
 
-// Tick tells the cell that its process runs. After a pause the cell begins a
+// Tick records that the owner's process is running. After too long a pause the cell begins a
 // takeover by itself.
 func (o *Owner) Tick(now time.Time) { o.cell.Tick(now) }
 
 // Acquire decides an ask.
 func (o *Owner) Acquire(now time.Time, m Acquire) Reply {
-	h := o.hear(now, m.Holder())
-	if h == nil || h.over(m.Seq) {
+	h := o.holderFor(now, m.Holder())
+	if h == nil || h.isStale(m.Seq) {
 		return Reply{Code: Stale}
 	}
-	h.top = max(h.top, m.Seq)
+	h.maxSeq = max(h.maxSeq, m.Seq)
 	v := o.cell.Acquire(now, cell.Ask{
-		Holder: m.Holder(), Request: requestName(m.Seq), Chat: m.Chat,
+		Holder: m.Holder(), Request: requestID(m.Seq), Chat: m.Chat,
 		Workspace: m.Workspace, Weight: m.Weight, Urgency: m.Urgency,
 		Exclude: m.Exclude, Returning: m.Returning, Last: m.Last,
 	})
@@ -108,8 +111,7 @@
 	return replyOf(v)
 }
 
-// Targets returns the number of requests known on each target, in the order
-// of the target IDs.
+// Targets returns the number of recorded requests on each target, sorted by target ID.
 func (o *Owner) Targets() []TargetLoad {
 	known := make(map[string]int)
 	for _, h := range o.holders {
@@ -125,12 +127,12 @@
 	return out
 }
 
-// Ended ends places with their results and returns the suspensions of targets
-// that the failures led to.
-func (o *Owner) Ended(now time.Time, from cell.Holder, e Released) []cell.Suspension {
+// ReleaseWithResults ends places with their results and returns the suspensions of targets
+// that the failures caused.
+func (o *Owner) ReleaseWithResults(now time.Time, from cell.Holder, e Released) []cell.Suspension {
 	var out []cell.Suspension
 	for _, q := range e.Seqs {
-		if s, ok := o.cell.Report(now, from, requestName(q), e.result(q)); ok {
+		if s, ok := o.cell.Report(now, from, requestID(q), e.result(q)); ok {
 			out = append(out, s)
 		}
 	}
@@ -138,12 +140,12 @@
 	return out
 }
 
-// SuspendedTargets returns the number of targets that are suspended.
+// SuspendedTargets returns the number of suspended targets.
 func (o *Owner) SuspendedTargets() int { return o.cell.SuspendedTargets() }
 
-// Release ends places. A place that isn't known is remembered as ended.
+// Release ends places. A place that isn't recorded is marked as ended.
 func (o *Owner) Release(now time.Time, from cell.Holder, seqs Seqs) {
-	h := o.hear(now, from)
+	h := o.holderFor(now, from)
 	if h == nil {
 		return
 	}
@@ -155,54 +157,54 @@
 	}
 }
 
-// Resync makes the record of a holder equal to what it says, except for what
-// has changed since it said so. An older resync than the newest is ignored.
+// Resync makes the record of a holder equal to its list, except for places that were granted
+// or released after the list was built. A resync older than the newest one is ignored.
 func (o *Owner) Resync(now time.Time, m Resync) ResyncReply {
-	h := o.hear(now, m.Holder())
-	if h == nil || m.At <= h.floor {
+	h := o.holderFor(now, m.Holder())
+	if h == nil || m.At <= h.resyncSeq {
 		return ResyncReply{}
 	}
 	listed := setOf(m.Held)
 	for _, d := range m.Details {
 		listed[d.Seq] = struct{}{}
 	}
-	h.floor, h.pending = m.At, setOf(m.Pending)
+	h.resyncSeq, h.pending = m.At, setOf(m.Pending)
 	o.dropUnlisted(m.Holder(), h, listed)
-	h.forgetEnded(listed)
+	h.pruneEnded(listed)
 	o.addDetails(m.Holder(), h, m.Details)
 	return ResyncReply{Missing: h.missing(m.Held)}
 }
 
-// Expire forgets the dead holders, and the places of those last heard before
-// the given time.
+// Expire removes the dead holders, and drops the places of holders from which nothing has
+// arrived since the given time.
 func (o *Owner) Expire(before time.Time, dead func(cell.Holder) bool) {
 	for _, id := range o.cell.Waiting() {
 		if dead(id) {
-			o.forget(id)
+			o.dropHolder(id)
 		}
 	}
 	for id, h := range o.holders {
 		switch {
 		case dead(id):
-			o.forget(id)
-		case h.heard.Before(before):
+			o.dropHolder(id)
+		case h.lastMessage.Before(before):
 			o.cell.Forget(id)
 			h.reset()
 		}
 	}
 }
 
-func (o *Owner) forget(id cell.Holder) {
+func (o *Owner) dropHolder(id cell.Holder) {
 	o.cell.Forget(id)
 	delete(o.holders, id)
 }
 
-// hear returns the record of a holder, or nil if a newer run of its node is
-// known. It forgets older runs.
-func (o *Owner) hear(now time.Time, id cell.Holder) *holder {
+// holderFor returns the record of a holder and sets the time of its last message. It returns
+// nil if a newer run of the holder's node is recorded, and removes older runs.
+func (o *Owner) holderFor(now time.Time, id cell.Holder) *holder {
 	h, ok := o.holders[id]
 	if ok {
-		h.heard = now
+		h.lastMessage = now
 		return h
 	}
 	for other := range o.holders {
@@ -212,18 +214,18 @@
 		if other.Incarnation > id.Incarnation {
 			return nil
 		}
-		o.forget(other)
+		o.dropHolder(other)
 	}
-	h = &holder{heard: now}
+	h = &holder{lastMessage: now}
 	h.reset()
 	o.holders[id] = h
 	return h
 }
 
-// reset drops all places. An ask sent before then may have been answered, so
-// that a late copy of it must not take a place again.
+// reset drops all places. An earlier ask may have been answered already, so a late copy of
+// it must not take a place again.
 func (h *holder) reset() {
-	h.base = h.top
+	h.resetSeq = h.maxSeq
 	h.pending = nil
 	h.ended = make(map[uint64]struct{})
 	h.holds = make(map[uint64]cell.Hold)
@@ -231,14 +233,14 @@
 
 func (o *Owner) drop(id cell.Holder, h *holder, q uint64) {
 	delete(h.holds, q)
-	o.cell.Release(id, requestName(q))
+	o.cell.Release(id, requestID(q))
 }
 
 func (o *Owner) dropUnlisted(id cell.Holder, h *holder, listed map[uint64]struct{}) {
 	for q := range h.holds {
 		_, isPending := h.pending[q]
 		_, isListed := listed[q]
-		if q <= h.floor && !isPending && !isListed {
+		if q <= h.resyncSeq && !isPending && !isListed {
 			o.drop(id, h, q)
 		}
 	}
@@ -264,8 +266,9 @@
 	o.cell.Resync(id, all)
 }
 
-// over says whether the holder has given an ask up.
-func (h *holder) over(q uint64) bool {
+// isStale reports whether an ask must not be granted, because its place has ended or the
+// holder has canceled it.
+func (h *holder) isStale(q uint64) bool {
 	if _, ok := h.ended[q]; ok {
 		return true
 	}
@@ -273,15 +276,15 @@
 		return false
 	}
 	_, pending := h.pending[q]
-	return q <= h.base || q <= h.floor && !pending
+	return q <= h.resetSeq || q <= h.resyncSeq && !pending
 }
 
-// forgetEnded drops the ended asks that the newest resync already leaves out.
-func (h *holder) forgetEnded(listed map[uint64]struct{}) {
+// pruneEnded removes the ended asks that the newest resync no longer lists.
+func (h *holder) pruneEnded(listed map[uint64]struct{}) {
 	for q := range h.ended {
 		_, isPending := h.pending[q]
 		_, isListed := listed[q]
-		if q <= h.floor && !isPending && !isListed {
+		if q <= h.resyncSeq && !isPending && !isListed {
 			delete(h.ended, q)
 		}
 	}
@@ -307,10 +310,10 @@
 	return set
 }
 
-func requestName(q uint64) string { return strconv.FormatUint(q, 36) }
+func requestID(q uint64) string { return strconv.FormatUint(q, 36) }
 
 func holdOf(d Detail) cell.Hold {
-	return cell.Hold{Request: requestName(d.Seq), Target: d.Target, Workspace: d.Workspace, Chat: d.Chat}
+	return cell.Hold{Request: requestID(d.Seq), Target: d.Target, Workspace: d.Workspace, Chat: d.Chat}
 }
 
 func replyOf(v cell.Verdict) Reply {
--- a/admission/holds/owner_test.go
+++ b/admission/holds/owner_test.go
@@ -29,10 +29,10 @@
 		then    func(o *holds.Owner)
 		waiting int
 	}{
-		{"nobody heard", func(*holds.Owner) {}, 2},
-		{"one heard", func(o *holds.Owner) { o.Resync(start, resyncOf("x")) }, 1},
-		{"an ask is no account of places", func(o *holds.Owner) { o.Acquire(start, acquire("x", 1, 1)) }, 2},
-		{"all heard", func(o *holds.Owner) {
+		{"no report", func(*holds.Owner) {}, 2},
+		{"one report", func(o *holds.Owner) { o.Resync(start, resyncOf("x")) }, 1},
+		{"an ask is not a report", func(o *holds.Owner) { o.Acquire(start, acquire("x", 1, 1)) }, 2},
+		{"all reports", func(o *holds.Owner) {
 			o.Resync(start, resyncOf("x"))
 			o.Resync(start, resyncOf("y"))
 		}, 0},
@@ -54,18 +54,18 @@
 	return holds.Resync{From: holds.From{Node: node, Incarnation: 1}, Key: key, At: 9}
 }
 
-func TestHolderIsForgotten(t *testing.T) {
+func TestHolderExpires(t *testing.T) {
 	none := func(cell.Holder) bool { return false }
 	tests := []struct {
 		name string
 		then func(o *holds.Owner)
 		want int
 	}{
-		{"heard in time", func(o *holds.Owner) { o.Expire(start, none) }, 1},
-		{"not heard", func(o *holds.Owner) { o.Expire(start.Add(1), none) }, 0},
+		{"recent message", func(o *holds.Owner) { o.Expire(start, none) }, 1},
+		{"no recent message", func(o *holds.Owner) { o.Expire(start.Add(1), none) }, 0},
 		{"dead", func(o *holds.Owner) { o.Expire(start, func(h cell.Holder) bool { return h.Node == "x" }) }, 0},
 		{"restarted", func(o *holds.Owner) { o.Acquire(start, acquire("x", 2, 1)) }, 1},
-		{"older run speaks late", func(o *holds.Owner) { o.Resync(start, holds.Resync{From: holds.From{Node: "x"}, At: 99}) }, 1},
+		{"late message of an older run", func(o *holds.Owner) { o.Resync(start, holds.Resync{From: holds.From{Node: "x"}, At: 99}) }, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -87,25 +87,25 @@
 	table := holds.NewTable(holds.From{Node: "n", Incarnation: 1}, timing)
 	q := table.Begin(start, key, x)
 	table.Grant(start, key, x, holds.Detail{Seq: q, Target: "a"})
-	is.Equal(len(table.Due(start, ownerOf)), 0) // the owner knows it
+	is.Equal(len(table.DueResyncs(start, ownerOf)), 0) // the owner has recorded it
 
-	table.Take(start, key, x, holds.Detail{Target: "a"})
-	is.Equal(len(table.Due(start.Add(timing.Report), ownerOf)), 1) // a place that no owner granted
-	m := table.Build(key, x)
+	table.AddUngranted(start, key, x, holds.Detail{Target: "a"})
+	is.Equal(len(table.DueResyncs(start.Add(timing.Report), ownerOf)), 1) // a place that no owner granted
+	m := table.BuildResync(key, x)
 	is.Equal(len(m.Held), 1)
 	is.Equal(len(m.Details), 1)
-	is.Equal(len(table.Due(start.Add(timing.Interval), ownerOf)), 0) // under way
-	table.Done(start, x, m, holds.ResyncReply{})
-	is.Equal(len(table.Due(start, ownerOf)), 0)
+	is.Equal(len(table.DueResyncs(start.Add(timing.Interval), ownerOf)), 0) // already being sent
+	table.ResyncAnswered(start, x, m, holds.ResyncReply{})
+	is.Equal(len(table.DueResyncs(start, ownerOf)), 0)
 
 	owner = y
-	due := table.Due(start, ownerOf)
+	due := table.DueResyncs(start, ownerOf)
 	is.Equal(len(due), 1) // at once after a change of owner
 	is.True(due[0].Changed)
-	is.Equal(len(table.Build(key, y).Details), 2)
-	table.Failed(start, key)
-	is.Equal(len(table.Due(start, ownerOf)), 0)
-	is.Equal(len(table.Due(start.Add(timing.Retry), ownerOf)), 1)
+	is.Equal(len(table.BuildResync(key, y).Details), 2)
+	table.ResyncFailed(start, key)
+	is.Equal(len(table.DueResyncs(start, ownerOf)), 0)
+	is.Equal(len(table.DueResyncs(start.Add(timing.Retry), ownerOf)), 1)
 }
 
 func TestRekeyMovesPlaces(t *testing.T) {
@@ -116,8 +116,8 @@
 	q := table.Begin(start, key, owner)
 	table.Grant(start, key, owner, holds.Detail{Seq: q, Target: "a"})
 	table.Rekey(start, func(k holds.Key) bool { return k.Of != 2 }, func(holds.Key, string) holds.Key { return moved })
-	is.Equal(len(table.Build(key, owner).Held), 0)
-	is.Equal(len(table.Build(moved, owner).Details), 1) // the new owner doesn't know it
+	is.Equal(len(table.BuildResync(key, owner).Held), 0)
+	is.Equal(len(table.BuildResync(moved, owner).Details), 1) // the new owner hasn't recorded it
 	is.Equal(table.Release(key, q), moved)
 	is.Equal(table.Len(), 0)
 }
--- a/admission/holds/protocol_test.go
+++ b/admission/holds/protocol_test.go
@@ -21,7 +21,7 @@
 	names  = []string{"node-0", "node-1", "node-2"}
 )
 
-// message is on its way between two nodes.
+// message is a message in transit between two nodes.
 type message struct {
 	to      int
 	from    int
@@ -33,14 +33,14 @@
 	synced  *holds.ResyncReply
 }
 
-// network is three nodes, each an entry and a possible owner, with every
-// message held until the test delivers, repeats or drops it.
+// network is three nodes, each of them an entry node and a possible owner. Messages stay in
+// the queue until the test delivers, repeats or drops them.
 type network struct {
 	now     time.Time
-	views   []int // each node's belief of who owns the cell
+	views   []int // the owner of the cell in each node's view
 	tables  []*holds.Table
 	owners  []*holds.Owner
-	pending []map[uint64]int // asks not answered, and the node asked
+	pending []map[uint64]int // unanswered asks, and the node asked
 	held    []map[uint64]string
 	queue   []message
 	grants  func(owner int, r holds.Reply) // called with each new place
@@ -76,9 +76,9 @@
 	n.sendRelease(node, owner, q)
 }
 
-// fallBack takes a place that no owner granted.
-func (n *network) fallBack(node int, target string) {
-	q := n.tables[node].Take(n.now, key, id(n.views[node]), holds.Detail{Target: target})
+// addUngranted adds a place that no owner granted.
+func (n *network) addUngranted(node int, target string) {
+	q := n.tables[node].AddUngranted(n.now, key, id(n.views[node]), holds.Detail{Target: target})
 	n.held[node][q] = target
 }
 
@@ -95,7 +95,7 @@
 
 func (n *network) resync(node int) {
 	owner := n.views[node]
-	m := n.tables[node].Build(key, id(owner))
+	m := n.tables[node].BuildResync(key, id(owner))
 	n.queue = append(n.queue, message{from: node, to: owner, resync: &m})
 }
 
@@ -108,7 +108,7 @@
 	case m.release != nil:
 		n.owners[m.to].Release(n.now, m.release.Holder(), m.release.Cells[0].Seqs)
 	case m.synced != nil:
-		n.tables[m.to].Done(n.now, id(m.from), *m.resync, *m.synced)
+		n.tables[m.to].ResyncAnswered(n.now, id(m.from), *m.resync, *m.synced)
 	case m.resync != nil:
 		r := n.owners[m.to].Resync(n.now, *m.resync)
 		n.queue = append(n.queue, message{from: m.to, to: m.from, resync: m.resync, synced: &r})
@@ -128,8 +128,8 @@
 	n.queue = append(n.queue, message{from: m.to, to: m.from, seq: m.acquire.Seq, reply: &r})
 }
 
-// deliverReply does what an entry does; an answer to an ask that was given up
-// or already answered is dropped.
+// deliverReply handles a reply like an entry node. A reply to an ask that was canceled or
+// already answered is dropped.
 func (n *network) deliverReply(m message) {
 	if _, ok := n.pending[m.to][m.seq]; !ok {
 		return
@@ -143,9 +143,9 @@
 	n.held[m.to][m.seq] = m.reply.Target
 }
 
-// settle gives up what has no answer, delivers all that is under way, then
-// resyncs every node twice: the second answers what the first found missing.
-func (n *network) settle() {
+// resyncAll cancels all unanswered asks, delivers all messages, then resyncs every node
+// twice: the second resync has the details of the places that the first found missing.
+func (n *network) resyncAll() {
 	n.giveUpAll()
 	n.drain()
 	for range 2 {
@@ -188,7 +188,7 @@
 	return out
 }
 
-// step draws one event.
+// step runs one random event.
 func (n *network) step(rt *rapid.T, more ...string) {
 	node := rapid.IntRange(0, len(names)-1).Draw(rt, "node")
 	kinds := append([]string{"ask", "ask", "deliver", "deliver", "deliver", "deliver", "giveUp", "end", "resync"}, more...)
@@ -206,7 +206,7 @@
 	case "resync":
 		n.resync(node)
 	case "fallBack":
-		n.fallBack(node, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "target"))
+		n.addUngranted(node, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "target"))
 	case "expire":
 		n.owners[node].Expire(n.now.Add(time.Second), func(cell.Holder) bool { return false })
 	case "view":
@@ -242,10 +242,10 @@
 	return rapid.SampledFrom(all).Draw(rt, "seq"), true
 }
 
-// TestOwnerKnowsEveryGrantedPlace: at one view, the owner counts each place it
-// granted until the place is released, in whatever order messages come, also
+// TestOwnerCountsEveryGrantedPlace: while all nodes have the same view, the owner counts
+// each place that it granted until the place is released, also if messages are reordered,
 // lost or repeated.
-func TestOwnerKnowsEveryGrantedPlace(t *testing.T) {
+func TestOwnerCountsEveryGrantedPlace(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork()
 		granted := make(map[string]int)
@@ -272,16 +272,16 @@
 	})
 }
 
-// tookLocally says whether a place never came from an owner: such a place is
-// known only after a resync.
+// tookLocally reports whether no owner granted a place. The owner records such a place only
+// with a resync.
 func (n *network) tookLocally(node int, q uint64) bool {
-	m := n.tables[node].Build(key, id(0))
+	m := n.tables[node].BuildResync(key, id(0))
 	return slices.ContainsFunc(m.Details, func(d holds.Detail) bool { return d.Seq == q })
 }
 
-// TestLateMessagesLeakNothing: if messages are late and overtake each other
-// but none is lost, the count is exact without a further resync.
-func TestLateMessagesLeakNothing(t *testing.T) {
+// TestReorderedMessagesLeaveExactCounts: if messages are delayed and reordered but none is
+// lost, the count is exact without a further resync.
+func TestReorderedMessagesLeaveExactCounts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork()
 		for range rapid.IntRange(1, 120).Draw(rt, "steps") {
@@ -298,9 +298,9 @@
 	})
 }
 
-// TestCountsHeal: whatever was lost, repeated, late or sent to a wrong owner,
-// one resync of each node after the views agree makes the owner's count exact.
-func TestCountsHeal(t *testing.T) {
+// TestResyncMakesCountsExact: after messages were lost, repeated, delayed or sent to a wrong
+// owner, one resync of each node makes the owner's count exact, once the views agree.
+func TestResyncMakesCountsExact(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork()
 		for range rapid.IntRange(1, 150).Draw(rt, "steps") {
@@ -310,7 +310,7 @@
 		for node := range n.views {
 			n.views[node] = owner
 		}
-		n.settle()
+		n.resyncAll()
 		got, want := n.owners[owner].Targets(), n.heldByTarget()
 		if !slices.Equal(got, want) {
 			rt.Fatalf("owner counts %v, nodes hold %v", got, want)
@@ -318,9 +318,9 @@
 	})
 }
 
-// TestBoundAtOneView: no grant takes a target beyond ceil(c × mean), where the
-// mean counts every place that the owner hasn't heard the end of.
-func TestBoundAtOneView(t *testing.T) {
+// TestBoundWhenViewsAgree: no grant takes a target beyond ceil(c × mean), where the mean
+// counts every place whose release hasn't reached the owner.
+func TestBoundWhenViewsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork()
 		n.grants = func(owner int, r holds.Reply) {
@@ -341,7 +341,7 @@
 	})
 }
 
-func TestSeqsOnTheWire(t *testing.T) {
+func TestSeqsEncoding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
 		in := holds.Seqs(rapid.SliceOfDistinct(rapid.Uint64(), rapid.ID).Draw(rt, "seqs"))
--- a/admission/holds/table.go
+++ b/admission/holds/table.go
@@ -8,14 +8,14 @@
 	"github.com/knapweedgw/knapweedgw/admission/cell"
 )
 
-// Timing says how often a node tells owners what it holds.
+// Timing configures how often a node reports its places to owners.
 type Timing struct {
 	Interval time.Duration // between two resyncs of a cell
 	Retry    time.Duration // after a failed resync
-	Report   time.Duration // until an owner is told of a place it didn't grant
+	Report   time.Duration // until a place that no owner granted is reported to the owner
 }
 
-// Table is what one node holds. It is safe for concurrent use.
+// Table has the places that one node holds. It is safe for concurrent use.
 type Table struct {
 	self   From
 	timing Timing
@@ -26,23 +26,23 @@
 }
 
 type tableCell struct {
-	holds   map[uint64]*place
-	pending map[uint64]struct{}
-	synced  cell.Holder // owner of the last resync
-	due     time.Time
-	busy    bool
+	holds      map[uint64]*place
+	pending    map[uint64]struct{}
+	lastOwner  cell.Holder // owner that the last resync was due to
+	nextResync time.Time
+	resyncing  bool
 }
 
 type place struct {
 	Detail
-	knownTo cell.Holder
+	recordedBy cell.Holder
 }
 
-// Due is a cell whose owner is to be told what the node holds.
-type Due struct {
+// DueResync is a cell whose places must be reported to its owner now.
+type DueResync struct {
 	Key     Key
 	Owner   cell.Holder
-	Changed bool // the owner isn't the one told last
+	Changed bool // the owner has changed since the last resync
 }
 
 // NewTable returns an empty table of the given run of a node.
@@ -60,16 +60,16 @@
 	return t.next
 }
 
-// Grant turns a pending ask into a place that owner knows.
+// Grant turns a pending ask into a place that the owner has recorded.
 func (t *Table) Grant(now time.Time, k Key, owner cell.Holder, d Detail) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
 	delete(c.pending, d.Seq)
-	c.holds[d.Seq] = &place{Detail: d, knownTo: owner}
+	c.holds[d.Seq] = &place{Detail: d, recordedBy: owner}
 }
 
-// GiveUp ends a pending ask. The owner should be sent a release of it.
+// GiveUp cancels a pending ask. The caller should send the owner a release of it.
 func (t *Table) GiveUp(k Key, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,16 +78,16 @@
 	}
 }
 
-// Take records a place that no owner granted and returns its sequence number.
-func (t *Table) Take(now time.Time, k Key, owner cell.Holder, d Detail) uint64 {
+// AddUngranted records a place that no owner granted and returns its sequence number.
+func (t *Table) AddUngranted(now time.Time, k Key, owner cell.Holder, d Detail) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
 	t.next++
 	d.Seq = t.next
 	c.holds[d.Seq] = &place{Detail: d}
-	if soon := now.Add(t.timing.Report); soon.Before(c.due) {
-		c.due = soon
+	if soon := now.Add(t.timing.Report); soon.Before(c.nextResync) {
+		c.nextResync = soon
 	}
 	return d.Seq
 }
@@ -122,34 +122,33 @@
 	return n
 }
 
-// Due returns the cells whose owner is to be told, because it changed or
-// because the interval has passed. Each must be passed to Build, then to Done
-// or Failed.
-func (t *Table) Due(now time.Time, ownerOf func(Key) (cell.Holder, bool)) []Due {
+// DueResyncs returns the cells to report now, because their owner changed or the interval
+// has passed. Each must be passed to BuildResync, then to ResyncAnswered or ResyncFailed.
+func (t *Table) DueResyncs(now time.Time, ownerOf func(Key) (cell.Holder, bool)) []DueResync {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Due
+	var out []DueResync
 	for k, c := range t.cells {
 		owner, ok := ownerOf(k)
-		if !ok || c.busy {
+		if !ok || c.resyncing {
 			continue
 		}
-		changed := owner != c.synced
+		changed := owner != c.lastOwner
 		if changed {
-			c.synced, c.due = owner, now
+			c.lastOwner, c.nextResync = owner, now
 		}
-		if now.Before(c.due) {
+		if now.Before(c.nextResync) {
 			continue
 		}
-		c.busy = true
-		out = append(out, Due{Key: k, Owner: owner, Changed: changed})
+		c.resyncing = true
+		out = append(out, DueResync{Key: k, Owner: owner, Changed: changed})
 	}
 	return out
 }
 
-// Build returns the resync of a cell for an owner. Places that the owner
-// knows are listed by number only; the zero owner knows none.
-func (t *Table) Build(k Key, owner cell.Holder) Resync {
+// BuildResync returns the resync of a cell for an owner. Places that the owner has recorded
+// are listed by number only; the zero owner has recorded none.
+func (t *Table) BuildResync(k Key, owner cell.Holder) Resync {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next++
@@ -159,7 +158,7 @@
 		return m
 	}
 	for q, p := range c.holds {
-		if p.knownTo == owner && owner != (cell.Holder{}) {
+		if p.recordedBy == owner && owner != (cell.Holder{}) {
 			m.Held = append(m.Held, q)
 		} else {
 			m.Details = append(m.Details, p.Detail)
@@ -173,30 +172,31 @@
 	return m
 }
 
-// Done records the owner's answer to a resync. The cell is due again at once
-// if the owner lacks places, and forgotten once an empty resync is answered.
-func (t *Table) Done(now time.Time, owner cell.Holder, m Resync, r ResyncReply) {
+// ResyncAnswered records the owner's answer to a resync. The cell is due again at once if
+// the owner lacks places, and is removed after an answered resync that was empty, if it is
+// still empty.
+func (t *Table) ResyncAnswered(now time.Time, owner cell.Holder, m Resync, r ResyncReply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.cells[m.Key]
 	if !ok {
 		return
 	}
-	c.busy = false
-	c.due = now.Add(t.timing.Interval)
+	c.resyncing = false
+	c.nextResync = now.Add(t.timing.Interval)
 	if r.NotOwner {
-		c.due = now.Add(t.timing.Retry)
+		c.nextResync = now.Add(t.timing.Retry)
 		return
 	}
 	for _, d := range m.Details {
 		if p, held := c.holds[d.Seq]; held {
-			p.knownTo = owner
+			p.recordedBy = owner
 		}
 	}
 	for _, q := range r.Missing {
 		if p, held := c.holds[q]; held {
-			p.knownTo = cell.Holder{}
-			c.due = now
+			p.recordedBy = cell.Holder{}
+			c.nextResync = now
 		}
 	}
 	wasEmpty := len(m.Held)+len(m.Details)+len(m.Pending) == 0
@@ -205,18 +205,18 @@
 	}
 }
 
-// Failed records that a resync had no answer.
-func (t *Table) Failed(now time.Time, k Key) {
+// ResyncFailed records that a resync got no answer.
+func (t *Table) ResyncFailed(now time.Time, k Key) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.cells[k]; ok {
-		c.busy = false
-		c.due = now.Add(t.timing.Retry)
+		c.resyncing = false
+		c.nextResync = now.Add(t.timing.Retry)
 	}
 }
 
-// Rekey moves places to other cells after the pool was divided anew. Cells
-// that aren't stale are left alone.
+// Rekey moves places to other cells after the number of the pool's cells has changed. Cells
+// for which stale returns false are left unchanged.
 func (t *Table) Rekey(now time.Time, stale func(Key) bool, keyOf func(k Key, target string) Key) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,10 +228,10 @@
 		for q, p := range c.holds {
 			k := keyOf(old, p.Target)
 			delete(c.holds, q)
-			p.knownTo = cell.Holder{}
+			p.recordedBy = cell.Holder{}
 			moved := t.cell(now, k, cell.Holder{})
 			moved.holds[q] = p
-			moved.due = now
+			moved.nextResync = now
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	if !ok {
 		c = &tableCell{
 			holds: make(map[uint64]*place), pending: make(map[uint64]struct{}),
-			synced: owner, due: now.Add(t.timing.Interval),
+			lastOwner: owner, nextResync: now.Add(t.timing.Interval),
 		}
 		t.cells[k] = c
 	}
--- a/admission/owned.go
+++ b/admission/owned.go
@@ -172,8 +172,8 @@
 	defer c.mu.Unlock()
 	now := s.now()
 	c.owner.Resync(now, m)
-	c.owner.Remember(now, m.Recent)
-	c.owner.Heard(h)
+	c.owner.MergeRecent(now, m.Recent)
+	c.owner.EndWait(h)
 }
 
 func (s *Service) fetch(ctx context.Context, p *plan, k holds.Key, h cell.Holder) (holds.Resync, error) {
--- a/admission/serve.go
+++ b/admission/serve.go
@@ -61,7 +61,7 @@
 }
 
 func (s *Service) serveAcquire(m holds.Acquire) holds.Reply {
-	for _, f := range m.Left {
+	for _, f := range m.LeavingNodes {
 		s.noteLeft(f)
 	}
 	m.Region = s.cfg.Region
@@ -106,7 +106,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, sus := range c.owner.Ended(s.now(), h, e) {
+	for _, sus := range c.owner.ReleaseWithResults(s.now(), h, e) {
 		s.metrics.suspensions.Inc()
 		s.log.Warn("target suspended", "target", sus.Target, "pool", e.Pool, "pause", sus.Pause)
 	}
@@ -136,7 +136,7 @@
 // account is all that a new owner should know from this node: its places in a
 // cell, and where its chats of late ran.
 func (s *Service) account(p *plan, k holds.Key) holds.Resync {
-	m := s.table.Build(k, cell.Holder{})
+	m := s.table.BuildResync(k, cell.Holder{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m.Recent = s.recent.Recent(s.now(), recentMaxAge, func(target string) bool {
--- a/admission/service_test.go
+++ b/admission/service_test.go
@@ -255,7 +255,7 @@
 	var early holds.Resync
 	n.onCall = func(method string) {
 		if method == methodAcquire {
-			early = n.table.Build(k, owner.self.Holder())
+			early = n.table.BuildResync(k, owner.self.Holder())
 		}
 	}
 	g, err := f.acquire(asker, 1)
--- a/admission/sync.go
+++ b/admission/sync.go
@@ -16,7 +16,7 @@
 
 // resyncDue tells each owner that is due what this node holds.
 func (s *Service) resyncDue(ctx context.Context, p *plan) {
-	due := s.table.Due(s.now(), func(k holds.Key) (cell.Holder, bool) {
+	due := s.table.DueResyncs(s.now(), func(k holds.Key) (cell.Holder, bool) {
 		n, ok := p.owner(k)
 		return holderOf(n), ok
 	})
@@ -25,8 +25,8 @@
 	}
 }
 
-func (s *Service) resync(ctx context.Context, p *plan, d holds.Due) {
-	m := s.table.Build(d.Key, d.Owner)
+func (s *Service) resync(ctx context.Context, p *plan, d holds.DueResync) {
+	m := s.table.BuildResync(d.Key, d.Owner)
 	reply, err := s.sendResync(ctx, p, d, m)
 	cause, result := causePeriodic, "ok"
 	if d.Changed {
@@ -35,17 +35,17 @@
 	switch {
 	case err != nil:
 		result = "failed"
-		s.table.Failed(s.now(), d.Key)
+		s.table.ResyncFailed(s.now(), d.Key)
 	case reply.NotOwner:
 		result = "not_owner"
-		s.table.Done(s.now(), d.Owner, m, reply)
+		s.table.ResyncAnswered(s.now(), d.Owner, m, reply)
 	default:
-		s.table.Done(s.now(), d.Owner, m, reply)
+		s.table.ResyncAnswered(s.now(), d.Owner, m, reply)
 	}
 	s.metrics.resyncs.WithLabelValues(cause, result).Inc()
 }
 
-func (s *Service) sendResync(ctx context.Context, p *plan, d holds.Due, m holds.Resync) (holds.ResyncReply, error) {
+func (s *Service) sendResync(ctx context.Context, p *plan, d holds.DueResync, m holds.Resync) (holds.ResyncReply, error) {
 	if d.Owner.Node == s.cfg.Node {
 		return s.resyncOwned(m), nil
 	}
