--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides which target runs a request, so that no target
-// is loaded beyond a set multiple of the mean.
+// Package admission decides which target runs a request, so that no target's load exceeds a
+// configured multiple of the mean load.
 package admission
 
 import (
@@ -14,7 +14,8 @@
 // ServiceID is the kernel name of the service that implements Admitter.
 const ServiceID kernel.ID = "admission.admitter"
 
-// Request asks for a place on a target of a pool.
+// Request asks for a place on a target of a pool: the right to run one request on that
+// target.
 type Request struct {
 	ID        string
 	Chat      uint64 // routing key: requests of one chat share it
@@ -22,15 +23,14 @@
 	Priority  int // urgency as in RFC 9218: 0 highest to 7 lowest
 	Pool      settings.PoolRef
 	Exclude   []string // IDs of targets already tried
-	// Returning says that the chat has had an answer before.
+	// Returning is set if the chat has had an answer before.
 	Returning bool
 }
 
-// Result says how a request ended on its target, so that targets that fail are
-// suspended.
+// Result is how a request ended on its target. Targets whose requests fail are suspended.
 type Result = cell.Result
 
-// The results of a request.
+// Results of a request; see package cell.
 const (
 	Answered   = cell.Answered
 	Failed     = cell.Failed
@@ -38,8 +38,8 @@
 	Overloaded = cell.Overloaded
 )
 
-// Grant is a place on a target. Release must be called once the target no
-// longer works on the request; a second call does nothing.
+// Grant is a place on a target. Release must be called once the target no longer works on
+// the request; a second call does nothing.
 type Grant struct {
 	Target  targets.Target
 	Release func(Result)
--- a/admission/ask.go
+++ b/admission/ask.go
@@ -12,35 +12,36 @@
 	"github.com/knapweedgw/knapweedgw/peer"
 )
 
-// maxAsks is the most asks for a place in one cell, counting changes of owner
-// and targets that this node knows to be leaving.
+// maxAsks is the largest number of asks for a place in one cell. Asks to another owner
+// count, and so do repeated asks because the granted target is leaving according to this
+// node's list.
 const maxAsks = 3
 
-var errBreakerOpen = errors.New("admission: the owner didn't answer of late; it is asked again soon")
+var errBreakerOpen = errors.New("admission: circuit breaker open: the owner failed to answer recent asks; it is asked again soon")
 
 type answerKind int
 
 const (
-	answerNone answerKind = iota // no owner answered: fall back
+	answerNone answerKind = iota // no usable answer from an owner: use the local estimate
 	answerGranted
 	answerFull
 	answerRefused
-	answerCanceled // the caller gave up
-	answerGone     // granted on a target that this node knows to be gone
+	answerCanceled // the caller canceled the request
+	answerGone     // granted on a target that is gone or leaving according to this node's list
 )
 
-// answer is what came of asking a cell's owner.
+// answer is the result of asking a cell's owner.
 type answer struct {
 	kind    answerKind
 	reply   holds.Reply
 	place   place
-	outcome string // of a grant
-	reason  string // of no answer
+	outcome string // metric label of a grant
+	reason  string // metric label of answerNone
 }
 
-// askCell asks the owner of a cell, and another if the first says that it
-// isn't or if the view changes meanwhile.
-func (e *entry) askCell(ctx context.Context, index int) answer {
+// askCell asks the owner of a cell. It asks another node if the first one isn't the owner or
+// the view changes meanwhile, and asks again without the granted target if that is leaving.
+func (e *acquisition) askCell(ctx context.Context, index int) answer {
 	s := e.service
 	k := holds.Key{Pool: e.request.Pool.Pool, Region: e.region, Cell: index, Of: e.plan.pools[e.request.Pool.Pool].cells}
 	exclude := e.request.Exclude
@@ -67,11 +68,11 @@
 	return a
 }
 
-// nextOwner returns the owner to ask after one gave no answer, if there is
-// another.
+// nextOwner returns the owner to ask after a node gave no usable answer, and whether there
+// is another one.
 func (s *Service) nextOwner(k holds.Key, asked membership.Node, a answer) (membership.Node, bool) {
 	if a.reply.Leaving {
-		s.noteLeft(holds.From{Node: asked.ID, Incarnation: asked.Incarnation})
+		s.recordLeaving(holds.From{Node: asked.ID, Incarnation: asked.Incarnation})
 	}
 	p := s.plan()
 	if n, ok := p.owner(k); ok && n.ID != asked.ID {
@@ -83,16 +84,15 @@
 	return asked, false
 }
 
-// askOwner asks one node. A grant that comes after this node gave up is
-// released.
-func (e *entry) askOwner(ctx context.Context, owner membership.Node, k holds.Key, exclude []string) answer {
+// askOwner asks one node. If a grant arrives after the timeout, the place is released.
+func (e *acquisition) askOwner(ctx context.Context, owner membership.Node, k holds.Key, exclude []string) answer {
 	s := e.service
 	h := holderOf(owner)
 	seq := s.table.Begin(s.now(), k, h)
 	m := holds.Acquire{
 		From: s.self, Key: k, Seq: seq, Chat: e.request.Chat, Workspace: workspaceName(e.request),
 		Weight: e.request.Workspace.Weight, Urgency: e.request.Priority, Exclude: exclude,
-		Returning: e.request.Returning, Last: e.last(), LeavingNodes: s.leavers(),
+		Returning: e.request.Returning, Last: e.isLastCell(), LeavingNodes: s.leavingNodes(),
 	}
 	if m.Weight == 1 {
 		m.Weight = 0
@@ -107,12 +107,13 @@
 		reply, err = s.askRemote(ctx, owner, m)
 	}
 	if err != nil {
-		return s.noAnswer(ctx, owner, k, seq, err)
+		return s.abandonAsk(ctx, owner, k, seq, err)
 	}
-	return e.heed(reply, outcome, owner, k, seq)
+	return e.handleReply(reply, outcome, owner, k, seq)
 }
 
-// askRemote sends an ask within the time that the owner usually needs.
+// askRemote sends an ask to another node, with a timeout derived from that node's recent
+// answer times.
 func (s *Service) askRemote(ctx context.Context, owner membership.Node, m holds.Acquire) (holds.Reply, error) {
 	start := s.now()
 	s.mu.Lock()
@@ -143,9 +144,9 @@
 	return reply, err
 }
 
-// noAnswer gives an ask up. The owner may still grant it, so it is released,
-// unless the owner never saw it.
-func (s *Service) noAnswer(ctx context.Context, owner membership.Node, k holds.Key, seq uint64, err error) answer {
+// abandonAsk cancels an ask that got no answer. The owner may still grant it, so a release
+// is sent, unless the ask certainly never reached the owner.
+func (s *Service) abandonAsk(ctx context.Context, owner membership.Node, k holds.Key, seq uint64, err error) answer {
 	s.table.GiveUp(k, seq)
 	reason := failureReason(err)
 	if reason != reasonUnreachable && reason != reasonBreaker {
@@ -171,15 +172,15 @@
 	}
 }
 
-// heed acts on an owner's reply.
-func (e *entry) heed(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
+// handleReply converts an owner's reply to an answer.
+func (e *acquisition) handleReply(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
 	s := e.service
 	if r.Code != holds.Granted {
 		s.table.GiveUp(k, seq)
 	}
 	switch r.Code {
 	case holds.Granted:
-		return e.heedGrant(r, outcome, owner, k, seq)
+		return e.handleGrant(r, outcome, owner, k, seq)
 	case holds.Full:
 		if r.Reason == cell.ReasonRecovering {
 			return answer{reply: r, reason: reasonRecovering}
@@ -194,9 +195,9 @@
 	}
 }
 
-// heedGrant records the place, or releases it if this node knows that the
-// target is leaving or gone.
-func (e *entry) heedGrant(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
+// handleGrant records the place, or releases it if the target is leaving or gone according
+// to this node's list.
+func (e *acquisition) handleGrant(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
 	s := e.service
 	t, ok := s.plan().liveTarget(k, r.Target)
 	if !ok {
@@ -207,5 +208,5 @@
 	s.table.Grant(s.now(), k, holderOf(owner), holds.Detail{
 		Seq: seq, Target: t.ID, Workspace: workspaceName(e.request), Chat: e.request.Chat,
 	})
-	return answer{kind: answerGranted, outcome: outcome, place: place{key: k, seq: seq, target: t, done: s.local.sent(t.ID)}}
+	return answer{kind: answerGranted, outcome: outcome, place: place{key: k, seq: seq, target: t, done: s.local.countSent(t.ID)}}
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
-// BenchmarkAcquire is a place asked for and released, through the encoding of
+// BenchmarkAcquire measures acquiring and releasing a place, including the encoding of
 // messages at both ends.
 func BenchmarkAcquire(b *testing.B) {
 	for _, size := range []struct{ nodes, engines int }{{8, 18}, {53, 196}, {53, 786}} {
@@ -25,7 +25,7 @@
 				}
 				g.Release(Answered)
 				if i%100 == 0 {
-					f.pass(releaseDelay)
+					f.advance(releaseDelay)
 				}
 			}
 			b.ReportMetric(float64(f.bytes()-before)/float64(b.N), "bytes/request")
@@ -33,8 +33,8 @@
 	}
 }
 
-// BenchmarkPlan is the plan made anew at each change of views, targets or
-// settings, with one pool of the node's region.
+// BenchmarkPlan measures computing the plan with one pool of the node's region, as at each
+// change of views, targets or settings.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ nodes, engines int }{{8, 18}, {53, 196}, {53, 786}} {
 		b.Run(fmt.Sprintf("nodes=%d/engines=%d", size.nodes, size.engines), func(b *testing.B) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkIdleControl reports the control bytes a node sends in a second
-// without new requests, at 260 requests in flight a node.
+// BenchmarkIdleControl reports the bytes of control messages that a node sends in a second
+// without new requests, at 260 requests in flight for each node.
 func BenchmarkIdleControl(b *testing.B) {
 	for _, cells := range []int{1, 8, 32} {
 		b.Run(fmt.Sprintf("cells=%d", cells), func(b *testing.B) {
@@ -66,15 +66,15 @@
 			before := f.bytes()
 			b.ResetTimer()
 			for range b.N {
-				f.pass(time.Second)
+				f.advance(time.Second)
 			}
 			b.ReportMetric(float64(f.bytes()-before)/float64(b.N)/nodes, "bytes/s/node")
 		})
 	}
 }
 
-// BenchmarkPlaceMemory reports the heap that a place takes, at the node that
-// holds it and at the owner together, with its chat remembered at both.
+// BenchmarkPlaceMemory reports the heap bytes of a place, at the node that holds it and at
+// the owner together, including the chat's entry in Memory at both.
 func BenchmarkPlaceMemory(b *testing.B) {
 	const nodes, inFlight = 53, 260
 	for range b.N {
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -13,21 +13,21 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// maxCells is the most cells asked for one request.
+// maxCells is the largest number of cells asked for one request.
 const maxCells = 4
 
-// entry is one Acquire under way.
-type entry struct {
+// acquisition is one call of Acquire in progress, at the node by which the request came in.
+type acquisition struct {
 	service *Service
 	plan    *plan
 	group   *group
 	region  string
 	request Request
-	order   []int // live targets, best first
+	order   []int // indexes of live targets, best first
 	tried   []int // cells that were full
 }
 
-// place is a place on a target, granted by an owner or taken by the estimate.
+// place is a place on a target, granted by an owner or taken by the local estimate.
 type place struct {
 	key    holds.Key
 	seq    uint64
@@ -35,34 +35,34 @@
 	done   func() // ends the local count
 }
 
-// Acquire implements Admitter. It asks the owner of the cell that holds the
-// best target; while that is full, the next ones. Without an answer the local
-// estimate decides, so that no request waits for another node.
+// Acquire implements Admitter. It asks the owner of the cell that has the best target, and the
+// owners of further cells while the answer is that the cell is full. Without an answer the local
+// estimate decides, so that a request never depends on another node.
 func (s *Service) Acquire(ctx context.Context, r Request) (Grant, error) {
 	p := s.plan()
 	g, region := p.nearest(r.Pool.Pool)
-	e := &entry{service: s, plan: p, group: g, region: region, request: r}
+	e := &acquisition{service: s, plan: p, group: g, region: region, request: r}
 	e.rank()
 	if len(e.order) == 0 {
 		s.metrics.requests.WithLabelValues(outcomeNoTarget).Inc()
 		return Grant{}, problem.New(problem.NoTarget, problem.RanNo, r.Pool.Name).After(saturatedRetryAfter)
 	}
 	if p.pools[r.Pool.Pool].cells == 0 {
-		return e.fallBack(reasonNoOwner)
+		return e.placeLocally(reasonNoOwner)
 	}
 	return e.acquire(ctx)
 }
 
-func (e *entry) rank() {
+func (e *acquisition) rank() {
 	top := routing.Top(nil, e.request.Chat, e.group.hashes, len(e.request.Exclude)+maxCells*2)
 	e.order = slices.DeleteFunc(top, func(i int) bool {
 		return slices.Contains(e.request.Exclude, e.group.live[i].ID)
 	})
 }
 
-func (e *entry) acquire(ctx context.Context) (Grant, error) {
+func (e *acquisition) acquire(ctx context.Context) (Grant, error) {
 	var last answer
-	for next := e.home(); next >= 0 && len(e.tried) < maxCells; next = e.next(last) {
+	for next := e.firstCell(); next >= 0 && len(e.tried) < maxCells; next = e.nextCell(last) {
 		if len(e.tried) > 0 {
 			e.service.metrics.redirects.WithLabelValues(redirectFull).Inc()
 		}
@@ -78,21 +78,21 @@
 			e.service.metrics.requests.WithLabelValues(outcomeCanceled).Inc()
 			return Grant{}, problem.New(problem.DeadlineExceeded, problem.RanNo, "while waiting for a place")
 		default:
-			return e.fallBack(last.reason)
+			return e.placeLocally(last.reason)
 		}
 	}
-	// A pool without room refuses; if every cell is merely over its bound, then
-	// their owners know too little of each other.
-	return e.fallBack(reasonAllFull)
+	// An owner refuses if the whole pool has no capacity. If instead each cell is only over its
+	// bound, the owners' totals of each other are out of date.
+	return e.placeLocally(reasonAllFull)
 }
 
-// home returns the cell of the best target.
-func (e *entry) home() int { return e.group.cells[e.order[0]] }
+// firstCell returns the cell of the best target.
+func (e *acquisition) firstCell() int { return e.group.cells[e.order[0]] }
 
-// next returns the cell to ask after the last was full: that of the best
-// target in none tried, at last the one with the least load; -1 if there is
-// none.
-func (e *entry) next(last answer) int {
+// nextCell returns the cell to ask after the last was full: the untried cell whose target ranks
+// best, or the one with the least load if there is none or if it is the last of maxCells. It
+// returns -1 if there is no cell left.
+func (e *acquisition) nextCell(last answer) int {
 	least := last.reply.Least - 1
 	if len(e.tried) == maxCells-1 && least >= 0 && !slices.Contains(e.tried, least) {
 		return least
@@ -108,13 +108,13 @@
 	return -1
 }
 
-// last says whether the cell being asked is the last one.
-func (e *entry) last() bool {
+// isLastCell reports whether the cell being asked is the last one.
+func (e *acquisition) isLastCell() bool {
 	cells := e.plan.pools[e.request.Pool.Pool].cells
 	return len(e.tried) >= min(maxCells, cells)-1
 }
 
-func (e *entry) refuse(outcome string, r holds.Reply) error {
+func (e *acquisition) refuse(outcome string, r holds.Reply) error {
 	e.service.metrics.requests.WithLabelValues(outcome).Inc()
 	reason := problem.Saturated
 	switch r.Reason {
@@ -130,9 +130,9 @@
 	return problem.New(reason, problem.RanNo, e.request.Pool.Name).After(after)
 }
 
-// fallBack lets the local estimate decide. The owner is told of the place by
-// the next resync.
-func (e *entry) fallBack(reason string) (Grant, error) {
+// placeLocally places the request by the local estimate. The owner gets the place with the
+// next resync.
+func (e *acquisition) placeLocally(reason string) (Grant, error) {
 	s := e.service
 	s.metrics.fallbacks.WithLabelValues(reason).Inc()
 	r := e.request
@@ -150,20 +150,20 @@
 	return e.grant(place{key: k, seq: seq, target: t, done: done}, outcomeFallback), nil
 }
 
-func (e *entry) grant(p place, outcome string) Grant {
+func (e *acquisition) grant(p place, outcome string) Grant {
 	s := e.service
 	s.metrics.requests.WithLabelValues(outcome).Inc()
-	s.remember(e.request.Chat, p.target.ID)
+	s.recordChat(e.request.Chat, p.target.ID)
 	return Grant{Target: p.target, Release: releaseOnce(func(r Result) { s.release(p, r) })}
 }
 
-func (s *Service) remember(chat uint64, target string) {
+func (s *Service) recordChat(chat uint64, target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent.Put(s.now(), chat, target)
 }
 
-// releaseOnce makes a release that does nothing the second time.
+// releaseOnce returns a release function that does nothing when called again.
 func releaseOnce(f func(Result)) func(Result) {
 	var once sync.Once
 	return func(r Result) { once.Do(func() { f(r) }) }
@@ -172,7 +172,7 @@
 // release ends a place at the cell's present owner.
 func (s *Service) release(p place, r Result) {
 	p.done()
-	s.local.ended(p.target.ID, r)
+	s.local.recordResult(p.target.ID, r)
 	k := s.table.Release(p.key, p.seq)
 	owner, ok := s.plan().owner(k)
 	if !ok {
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -28,18 +28,18 @@
 	testRegion = "region"
 )
 
-// fault is what happens to calls to a node.
+// fault is a failure mode of calls to a node.
 type fault int
 
 const (
 	faultNone        fault = iota
-	faultUnreachable       // the call fails before it is seen
-	faultFrozen            // the call times out and isn't seen
-	faultSlow              // the call is run but its answer comes too late
+	faultUnreachable       // the call fails before the node receives it
+	faultFrozen            // the call times out and the node doesn't receive it
+	faultSlow              // the call is run but its answer arrives too late
 )
 
-// fleet is several services linked in memory, with one clock. Everything runs
-// in the calling goroutine.
+// fleet is several services connected in memory, with one clock. Everything runs in the
+// calling goroutine.
 type fleet struct {
 	now   time.Time
 	nodes []*fakeNode
@@ -63,7 +63,7 @@
 func (s *source[T]) View() *T     { return s.v.Load() }
 func (s *source[T]) Snapshot() *T { return s.v.Load() }
 
-// fakeHub is a node's end of the fleet's network.
+// fakeHub is a node's connection to the fleet's network.
 type fakeHub struct {
 	fleet *fleet
 	self  *fakeNode
@@ -140,7 +140,7 @@
 	return f.nodes[i]
 }
 
-// view returns a view of all nodes but those named, which are dead.
+// view returns a view of all nodes, in which those named are dead.
 func (f *fleet) view(dead ...string) *membership.View {
 	v := &membership.View{}
 	for _, n := range f.nodes {
@@ -177,8 +177,8 @@
 	}
 }
 
-// pass moves the clock on and runs every live node's work.
-func (f *fleet) pass(d time.Duration) {
+// advance advances the clock and runs the periodic work of every live node.
+func (f *fleet) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	for _, n := range f.nodes {
 		if n.fault == faultNone || n.fault == faultSlow {
@@ -188,19 +188,19 @@
 	}
 }
 
-// share sends the releases, then lets the owners tell each other their totals
-// and heed them.
-func (f *fleet) share() {
-	f.pass(releaseDelay)
-	f.pass(cell.DefaultQuiet)
-	f.pass(0)
+// exchangeTotals sends the releases, then lets the owners announce their totals to each
+// other and apply those that they received.
+func (f *fleet) exchangeTotals() {
+	f.advance(releaseDelay)
+	f.advance(cell.DefaultQuiet)
+	f.advance(0)
 }
 
-// settle lets every takeover end, every resync happen and every place of a
-// silent node be dropped.
+// settle runs long enough for every takeover to end, every resync to happen and all places
+// of silent nodes to be dropped.
 func (f *fleet) settle() {
 	for range 20 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 }
 
@@ -223,7 +223,7 @@
 	return f.at(n.PeerAddr)
 }
 
-// counted returns the places on each target that the owners know.
+// counted returns the places on each target that the owners have recorded.
 func (f *fleet) counted() map[string]int {
 	out := make(map[string]int)
 	for _, n := range f.nodes {
@@ -247,7 +247,7 @@
 	return int(testutil.ToFloat64(n.metrics.fallbacks.WithLabelValues(reason)))
 }
 
-// bytes returns the parameters and results that all nodes sent.
+// bytes returns the number of bytes of parameters and results that all nodes have sent.
 func (f *fleet) bytes() int {
 	sum := 0
 	for _, n := range f.nodes {
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// TestOwnerSuspendsAFailingTarget: what a few nodes find out by themselves
-// keeps all nodes from a target, until a trial is answered.
+// TestOwnerSuspendsAFailingTarget: failures reported by a few nodes keep all nodes from
+// sending to a target, until a trial request is answered.
 func TestOwnerSuspendsAFailingTarget(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, 6, 1)
@@ -32,15 +32,15 @@
 				g.Release(r)
 			}
 			g.Release(Answered)
-			f.pass(0)
+			f.advance(0)
 		}
 		return failed
 	}
 	is.Equal(run(100, Failed), 3)
 	is.Equal(run(100, Failed), 0) // the pause
-	f.pass(time.Second)
-	is.Equal(run(100, Failed), 1) // the trial, and a longer pause
-	f.pass(2 * time.Second)
+	f.advance(time.Second)
+	is.Equal(run(100, Failed), 1) // the trial fails, and a longer pause follows
+	f.advance(2 * time.Second)
 	trial := acquire()
 	for trial.Target.ID != bad {
 		trial.Release(Answered)
@@ -48,15 +48,15 @@
 	}
 	is.Equal(run(100, Failed), 0)
 	trial.Release(Answered)
-	f.pass(0)
-	is.True(run(100, Answered) > 5) // healthy again
+	f.advance(0)
+	is.True(run(100, Answered) > 5) // in use again
 	owner := f.owner(t, 0)
 	is.Equal(int(testutil.ToFloat64(owner.metrics.suspensions)), 2)
 	is.Equal(owner.owned.suspended(), 0)
 }
 
-// TestEstimateAvoidsFailedTargets: without an owner, a node prefers targets
-// that didn't fail its own requests of late, and takes the others if need be.
+// TestEstimateAvoidsFailedTargets: without an owner's answer, a node prefers targets that
+// didn't fail its own requests recently, and uses the others if there is no other choice.
 func TestEstimateAvoidsFailedTargets(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, 2, 1)
@@ -69,13 +69,13 @@
 		g.Release(r)
 		return g.Target.ID
 	}
-	home := place(Unknown)
-	is.Equal(place(Failed), home)
+	preferred := place(Unknown)
+	is.Equal(place(Failed), preferred)
 	other := place(Answered)
-	is.True(other != home)
+	is.True(other != preferred)
 	place(Failed)
-	is.Equal(place(Answered), home) // both failed: by rank
-	is.Equal(place(Failed), home)
-	f.pass(avoidTime)
-	is.Equal(place(Answered), home)
+	is.Equal(place(Answered), preferred) // both failed: by rank
+	is.Equal(place(Failed), preferred)
+	f.advance(avoidDuration)
+	is.Equal(place(Answered), preferred)
 }
--- a/admission/link.go
+++ b/admission/link.go
@@ -4,14 +4,14 @@
 
 // Limits of the wait for an owner's answer.
 const (
-	timeoutSpread   = 4 // longest wait, as a multiple of the shortest
-	breakerTrips    = 3 // failures in a row that open the breaker
-	breakerMinPause = 250 * time.Millisecond
-	breakerMaxPause = 2 * time.Second
+	timeoutSpread    = 4 // longest wait, as a multiple of the shortest
+	breakerThreshold = 3 // failures in a row that open the breaker
+	breakerMinPause  = 250 * time.Millisecond
+	breakerMaxPause  = 2 * time.Second
 )
 
-// link is what is known of the way to another node: how long answers take
-// (Jacobson's estimator, as in RFC 6298) and a circuit breaker.
+// link holds the answer times of another node (Jacobson's estimator, as in RFC 6298) and a
+// circuit breaker for calls to it.
 type link struct {
 	mean, deviation time.Duration
 	failures        int
@@ -19,9 +19,9 @@
 	openUntil       time.Time
 }
 
-// timeout is how long to wait for an answer: the mean and four deviations,
-// within [shortest, timeoutSpread × shortest]. It is the longest before the
-// first answer, which includes the dial.
+// timeout returns how long to wait for an answer: the mean and four deviations, within
+// [shortest, timeoutSpread × shortest]. Before the first answer it is the longest, since
+// that wait includes the dial.
 func (l *link) timeout(shortest time.Duration) time.Duration {
 	longest := timeoutSpread * shortest
 	if l.mean == 0 {
@@ -30,10 +30,10 @@
 	return min(max(l.mean+4*l.deviation, shortest), longest)
 }
 
-// allow says whether to ask the node now. While the breaker is open only one
-// ask in each pause goes through.
+// allow reports whether to ask the node now. While the breaker is open, only one ask in each
+// pause is allowed.
 func (l *link) allow(now time.Time) bool {
-	if l.failures < breakerTrips {
+	if l.failures < breakerThreshold {
 		return true
 	}
 	if now.Before(l.openUntil) {
@@ -44,7 +44,7 @@
 }
 
 func (l *link) pause() time.Duration {
-	doublings := min(l.failures-breakerTrips, 3)
+	doublings := min(l.failures-breakerThreshold, 3)
 	return min(breakerMinPause<<max(doublings, 0), breakerMaxPause)
 }
 
@@ -53,9 +53,9 @@
 	l.sample(took)
 }
 
-// failed records an ask without an answer. Asks that were under way together
-// fail together and count as one, so that a short stall doesn't open the
-// breaker; but it makes the next asks wait longer.
+// failed records an ask without an answer. Asks that were in flight at the same time and
+// fail together count as one failure, so that a short stall doesn't open the breaker; it
+// does lengthen the timeout of the next asks.
 func (l *link) failed(began, now time.Time) {
 	if l.mean > 0 {
 		l.sample(now.Sub(began))
@@ -65,7 +65,7 @@
 	}
 	l.failedAt = now
 	l.failures++
-	if l.failures >= breakerTrips {
+	if l.failures >= breakerThreshold {
 		l.openUntil = now.Add(l.pause())
 	}
 }
--- a/admission/link_test.go
+++ b/admission/link_test.go
@@ -15,7 +15,7 @@
 		took []time.Duration
 		want time.Duration
 	}{
-		{"nothing known", nil, 4 * shortest},
+		{"no answer yet", nil, 4 * shortest},
 		{"fast", []time.Duration{time.Millisecond, time.Millisecond}, shortest},
 		{"slow", []time.Duration{20 * time.Millisecond}, 60 * time.Millisecond},
 		{"very slow", []time.Duration{time.Second}, 4 * shortest},
@@ -43,7 +43,7 @@
 	is.True(l.allow(now))
 	is.True(l.timeout(shortest) > shortest)
 
-	for range breakerTrips - 1 {
+	for range breakerThreshold - 1 {
 		l.failed(now, now.Add(shortest))
 		now = now.Add(shortest)
 	}
--- a/admission/local.go
+++ b/admission/local.go
@@ -15,19 +15,20 @@
 
 const (
 	saturatedRetryAfter = 2 * time.Second
-	// reportMaxAge is the age from which a target's report no longer counts.
+	// reportMaxAge is the age beyond which a target's report isn't used.
 	reportMaxAge = 10 * time.Second
-	// avoidTime is how long the estimate prefers other targets to one that
-	// failed a request of this node.
-	avoidTime = 10 * time.Second
+	// avoidDuration is how long the local estimate prefers other targets to one that failed a
+	// request of this node.
+	avoidDuration = 10 * time.Second
 )
 
-// TargetSource gives the current targets.
+// TargetSource provides the current targets.
 type TargetSource interface{ Snapshot() *targets.Snapshot }
 
-// Local estimates load from what targets last reported and what this node has
-// sent since. It is the baseline, and the fallback when no owner answers.
-type Local struct {
+// LocalEstimator estimates the load of targets from their last reports and from what this node has
+// sent since. It places requests when no owner answers, and can also serve as an Admitter
+// without owners, as a baseline for comparison.
+type LocalEstimator struct {
 	targets TargetSource
 	now     func() time.Time
 
@@ -35,60 +36,60 @@
 	loads map[string]*estimate
 }
 
-// estimate is what a node knows of one target's load by itself.
+// estimate is one target's load as far as this node can compute it alone.
 type estimate struct {
-	own      int // requests of this node in flight
-	reported int
-	at       time.Time
-	epoch    int       // number of reports
-	since    int       // own requests in flight that began after the report
-	failed   time.Time // when a request of this node last failed; zero after an answer
+	own         int // requests of this node in flight
+	reported    int
+	reportedAt  time.Time
+	reportCount int       // number of reports received
+	sinceReport int       // own requests in flight that began after the report
+	failed      time.Time // when a request of this node last failed; zero after an answer
 }
 
 func (e *estimate) load(now time.Time) int {
-	if now.Sub(e.at) > reportMaxAge {
+	if now.Sub(e.reportedAt) > reportMaxAge {
 		return e.own
 	}
-	return max(e.own, e.reported+e.since)
+	return max(e.own, e.reported+e.sinceReport)
 }
 
-// NewLocal returns a Local over the node's targets.
-func NewLocal(t TargetSource) *Local {
-	return &Local{targets: t, now: time.Now, loads: make(map[string]*estimate)}
+// NewLocalEstimator returns a LocalEstimator for the node's targets.
+func NewLocalEstimator(t TargetSource) *LocalEstimator {
+	return &LocalEstimator{targets: t, now: time.Now, loads: make(map[string]*estimate)}
 }
 
 // ID implements kernel.Service.
-func (l *Local) ID() kernel.ID { return ServiceID }
+func (l *LocalEstimator) ID() kernel.ID { return ServiceID }
 
-// Observe takes a target's report of its requests in flight. A report older
-// than the last is ignored.
-func (l *Local) Observe(target string, inFlight int, at time.Time) {
+// Observe records a target's report of its requests in flight. A report older than the last
+// is ignored.
+func (l *LocalEstimator) Observe(target string, inFlight int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.estimate(target)
-	if at.Before(e.at) {
+	if at.Before(e.reportedAt) {
 		return
 	}
-	e.reported, e.at, e.since = inFlight, at, 0
-	e.epoch++
+	e.reported, e.reportedAt, e.sinceReport = inFlight, at, 0
+	e.reportCount++
 }
 
 // Acquire implements Admitter.
-func (l *Local) Acquire(_ context.Context, r Request) (Grant, error) {
+func (l *LocalEstimator) Acquire(_ context.Context, r Request) (Grant, error) {
 	t, release, err := l.place(l.targets.Snapshot().Pool(r.Pool.Pool), r)
 	if err != nil {
 		return Grant{}, err
 	}
 	return Grant{Target: t, Release: releaseOnce(func(r Result) {
 		release()
-		l.ended(t.ID, r)
+		l.recordResult(t.ID, r)
 	})}, nil
 }
 
-// place counts the request on the best-ranked target under the bound, if
-// possible one that hasn't failed of late. The returned function must be called
-// once.
-func (l *Local) place(pool []targets.Target, r Request) (targets.Target, func(), error) {
+// place picks the best-ranked target under the bound, preferring those that haven't failed
+// recently, and counts the request on it. The returned function ends the count and must be
+// called once.
+func (l *LocalEstimator) place(pool []targets.Target, r Request) (targets.Target, func(), error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -102,7 +103,7 @@
 		if !eligible(t, r) || l.load(t.ID, now) >= min(bound, r.Pool.MaxInFlight*t.Capacity) {
 			continue
 		}
-		failed := l.failedOfLate(t.ID, now)
+		failed := l.failedRecently(t.ID, now)
 		s := routing.Score(r.Chat, routing.Hash(t.ID))
 		if best < 0 || bestFailed && !failed || bestFailed == failed && s > bestScore {
 			best, bestScore, bestFailed = i, s, failed
@@ -114,8 +115,8 @@
 	return pool[best], l.count(pool[best].ID), nil
 }
 
-// ended takes the result of a request of this node.
-func (l *Local) ended(target string, r Result) {
+// recordResult records the result of a request of this node.
+func (l *LocalEstimator) recordResult(target string, r Result) {
 	if r == Unknown {
 		return
 	}
@@ -128,36 +129,36 @@
 	}
 }
 
-func (l *Local) failedOfLate(target string, now time.Time) bool {
+func (l *LocalEstimator) failedRecently(target string, now time.Time) bool {
 	e, ok := l.loads[target]
-	return ok && now.Sub(e.failed) < avoidTime
+	return ok && now.Sub(e.failed) < avoidDuration
 }
 
-// sent counts a request of this node until the returned function is called.
-func (l *Local) sent(target string) func() {
+// countSent counts a request of this node until the returned function is called.
+func (l *LocalEstimator) countSent(target string) func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.count(target)
 }
 
-func (l *Local) count(target string) func() {
+func (l *LocalEstimator) count(target string) func() {
 	e := l.estimate(target)
 	e.own++
-	e.since++
-	epoch := e.epoch
+	e.sinceReport++
+	epoch := e.reportCount
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		e.own--
-		if e.epoch == epoch {
-			e.since--
+		if e.reportCount == epoch {
+			e.sinceReport--
 		}
 	}
 }
 
-// mean is the load of a target of capacity 1 with the request to be placed. It
-// also says whether there is any eligible target.
-func (l *Local) mean(pool []targets.Target, r Request, now time.Time) (float64, bool) {
+// mean returns the mean load of a target of capacity 1, including the request to be placed,
+// and whether there is any eligible target.
+func (l *LocalEstimator) mean(pool []targets.Target, r Request, now time.Time) (float64, bool) {
 	total, capacity := 1, 0
 	for _, t := range pool {
 		if eligible(t, r) {
@@ -168,14 +169,14 @@
 	return float64(total) / float64(max(capacity, 1)), capacity > 0
 }
 
-func (l *Local) load(target string, now time.Time) int {
+func (l *LocalEstimator) load(target string, now time.Time) int {
 	if e, ok := l.loads[target]; ok {
 		return e.load(now)
 	}
 	return 0
 }
 
-func (l *Local) estimate(target string) *estimate {
+func (l *LocalEstimator) estimate(target string) *estimate {
 	e, ok := l.loads[target]
 	if !ok {
 		e = &estimate{}
@@ -184,13 +185,13 @@
 	return e
 }
 
-// expire forgets the targets without a request of this node or a report that
-// still counts.
-func (l *Local) expire(now time.Time) {
+// expire removes targets that have no request of this node, no recent report and no recent
+// failure.
+func (l *LocalEstimator) expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, e := range l.loads {
-		if e.own == 0 && now.Sub(e.at) > reportMaxAge && now.Sub(e.failed) > avoidTime {
+		if e.own == 0 && now.Sub(e.reportedAt) > reportMaxAge && now.Sub(e.failed) > avoidDuration {
 			delete(l.loads, id)
 		}
 	}
--- a/admission/local_test.go
+++ b/admission/local_test.go
@@ -16,30 +16,30 @@
 	start := time.Unix(1000, 0)
 	tests := []struct {
 		name string
-		do   func(l *Local)
+		do   func(l *LocalEstimator)
 		want int
 	}{
-		{"nothing known", func(*Local) {}, 0},
-		{"own requests", func(l *Local) { l.sent("a"); l.sent("a") }, 2},
-		{"own requests that ended", func(l *Local) { l.sent("a")() }, 0},
-		{"report and later requests", func(l *Local) { l.Observe("a", 5, start); l.sent("a") }, 6},
-		{"report includes earlier requests", func(l *Local) { l.sent("a"); l.Observe("a", 5, start) }, 5},
-		{"report lower than own requests", func(l *Local) { l.sent("a"); l.sent("a"); l.Observe("a", 0, start) }, 2},
-		{"later request ended", func(l *Local) { l.Observe("a", 5, start); l.sent("a")() }, 5},
-		{"earlier request ended after the report", func(l *Local) {
-			end := l.sent("a")
+		{"no data", func(*LocalEstimator) {}, 0},
+		{"own requests", func(l *LocalEstimator) { l.countSent("a"); l.countSent("a") }, 2},
+		{"own requests that ended", func(l *LocalEstimator) { l.countSent("a")() }, 0},
+		{"report and later requests", func(l *LocalEstimator) { l.Observe("a", 5, start); l.countSent("a") }, 6},
+		{"report includes earlier requests", func(l *LocalEstimator) { l.countSent("a"); l.Observe("a", 5, start) }, 5},
+		{"report lower than own requests", func(l *LocalEstimator) { l.countSent("a"); l.countSent("a"); l.Observe("a", 0, start) }, 2},
+		{"later request ended", func(l *LocalEstimator) { l.Observe("a", 5, start); l.countSent("a")() }, 5},
+		{"earlier request ended after the report", func(l *LocalEstimator) {
+			end := l.countSent("a")
 			l.Observe("a", 5, start)
 			end()
 		}, 5},
-		{"older report comes late", func(l *Local) {
+		{"older report arrives late", func(l *LocalEstimator) {
 			l.Observe("a", 5, start)
 			l.Observe("a", 9, start.Add(-time.Second))
 		}, 5},
-		{"report too old", func(l *Local) { l.Observe("a", 5, start.Add(-time.Hour)) }, 0},
+		{"report too old", func(l *LocalEstimator) { l.Observe("a", 5, start.Add(-time.Hour)) }, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := NewLocal(nil)
+			l := NewLocalEstimator(nil)
 			tt.do(l)
 			is.New(t).Equal(l.load("a", start), tt.want)
 		})
@@ -54,7 +54,7 @@
 		want   string
 		reason problem.Reason
 	}{
-		{"the only one with room", engineList(2), map[string]int{"engine-00": 5}, "engine-01", ""},
+		{"the only one with free capacity", engineList(2), map[string]int{"engine-00": 5}, "engine-01", ""},
 		{"all at the hard limit", engineList(1), map[string]int{"engine-00": 8}, "", problem.Saturated},
 		{"none", nil, nil, "", problem.NoTarget},
 		{"all leaving", []targets.Target{{ID: "a", Capacity: 1, Leaving: true}}, nil, "", problem.NoTarget},
@@ -65,7 +65,7 @@
 			is := is.New(t)
 			var src source[targets.Snapshot]
 			src.v.Store(&targets.Snapshot{Pools: map[string][]targets.Target{testPool: tt.pool}})
-			l := NewLocal(&src)
+			l := NewLocalEstimator(&src)
 			for id, n := range tt.loads {
 				l.Observe(id, n, time.Now())
 			}
--- a/admission/metrics.go
+++ b/admission/metrics.go
@@ -8,25 +8,25 @@
 
 const subsystem = "admission"
 
-// The outcomes of an Acquire.
+// Outcomes of an Acquire.
 const (
 	outcomeOwner    = "owner"    // granted by the cell's owner
 	outcomeSelf     = "self"     // granted by this node, which owns the cell
 	outcomeFallback = "fallback" // placed by the local estimate
 	outcomeRefused  = "refused"
-	outcomeFull     = "full" // by the local estimate
+	outcomeFull     = "full" // refused by the local estimate
 	outcomeNoTarget = "no_target"
 	outcomeCanceled = "canceled"
 )
 
-// The reasons for asking once more.
+// Reasons for asking once more.
 const (
 	redirectFull   = "full"   // another cell
 	redirectOwner  = "owner"  // another owner of the cell
-	redirectTarget = "target" // for another target than one that is leaving
+	redirectTarget = "target" // the same owner, for another target than one that is leaving
 )
 
-// The reasons for falling back on the local estimate.
+// Reasons for using the local estimate.
 const (
 	reasonTimeout     = "timeout"
 	reasonUnreachable = "unreachable"
@@ -46,7 +46,7 @@
 	givenUp   prometheus.Counter
 	resyncs   *prometheus.CounterVec
 	takeovers prometheus.Counter
-	// suspensions counts those of targets in owned cells.
+	// suspensions counts the suspensions of targets in owned cells.
 	suspensions prometheus.Counter
 	roundTrip   prometheus.Histogram
 	bytes       *prometheus.CounterVec
@@ -70,7 +70,7 @@
 	}
 }
 
-// observeState publishes gauges of the service's state.
+// observeState registers gauges of the service's state.
 func observeState(reg prometheus.Registerer, s *Service) {
 	f := telemetry.NewMeters(reg, subsystem)
 	gauge := func(name, help string, value func() int) {
--- a/admission/owned.go
+++ b/admission/owned.go
@@ -10,51 +10,51 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
-// owned is the cells that this node owns.
-type owned struct {
+// ownedCells holds the cells that this node owns.
+type ownedCells struct {
 	mu    sync.Mutex
 	cells map[holds.Key]*ownedCell
 }
 
-// ownedCell is one cell; mu guards all of it.
+// ownedCell is one owned cell. mu guards all its fields.
 type ownedCell struct {
 	mu        sync.Mutex
 	owner     *holds.Owner
-	deadline  time.Time // of the takeover; zero if none goes on
+	deadline  time.Time // of the takeover; zero if none is in progress
 	nextPull  time.Time
-	unasked   []cell.Holder // not pulled from yet, heard or not
+	notPulled []cell.Holder // holders that haven't been sent a pull yet, including those that have reported by themselves
 	announcer cell.Announcer
 }
 
-func newOwned() *owned { return &owned{cells: make(map[holds.Key]*ownedCell)} }
+func newOwned() *ownedCells { return &ownedCells{cells: make(map[holds.Key]*ownedCell)} }
 
-func (o *owned) get(k holds.Key) (*ownedCell, bool) {
+func (o *ownedCells) get(k holds.Key) (*ownedCell, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c, ok := o.cells[k]
 	return c, ok
 }
 
-func (o *owned) len() int {
+func (o *ownedCells) len() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.cells)
 }
 
-func (o *owned) places() int {
+func (o *ownedCells) places() int {
 	n := 0
 	o.each(func(_ holds.Key, c *ownedCell) { n += c.owner.Places() })
 	return n
 }
 
-func (o *owned) suspended() int {
+func (o *ownedCells) suspended() int {
 	n := 0
 	o.each(func(_ holds.Key, c *ownedCell) { n += c.owner.SuspendedTargets() })
 	return n
 }
 
-// each calls f with every cell, locked.
-func (o *owned) each(f func(holds.Key, *ownedCell)) {
+// each calls f with every cell while holding the cell's lock.
+func (o *ownedCells) each(f func(holds.Key, *ownedCell)) {
 	o.mu.Lock()
 	cells := make(map[holds.Key]*ownedCell, len(o.cells))
 	for k, c := range o.cells {
@@ -68,9 +68,9 @@
 	}
 }
 
-// ownPlanned takes the cells that the plan gives to this node, drops the
-// others, and puts settings and targets in force.
-func (s *Service) ownPlanned(p *plan) {
+// updateOwned adds the cells that the plan assigns to this node, removes the others, and
+// applies the plan's settings and targets.
+func (s *Service) updateOwned(p *plan) {
 	s.owned.mu.Lock()
 	defer s.owned.mu.Unlock()
 	mine := make(map[holds.Key]*ownedCell)
@@ -82,7 +82,7 @@
 			}
 			c := s.owned.cells[k]
 			if c == nil {
-				c = s.take(p, k)
+				c = s.newOwnedCell(p, k)
 			}
 			c.apply(p, k)
 			mine[k] = c
@@ -91,9 +91,9 @@
 	s.owned.cells = mine
 }
 
-// take returns the record of a cell new to this node. Every node of the region
-// that may hold places is to be heard.
-func (s *Service) take(p *plan, k holds.Key) *ownedCell {
+// newOwnedCell returns the record of a cell that this node begins to own. The cell waits for
+// reports of all nodes of the region that may hold places.
+func (s *Service) newOwnedCell(p *plan, k holds.Key) *ownedCell {
 	s.metrics.takeovers.Inc()
 	c := &ownedCell{owner: holds.NewOwner(p.pools[k.Pool].cell)}
 	var holders []cell.Holder
@@ -103,7 +103,7 @@
 		}
 	}
 	c.owner.Takeover(holders)
-	c.unasked = holders
+	c.notPulled = holders
 	return c
 }
 
@@ -114,31 +114,31 @@
 	c.owner.SetTargets(p.cellTargets(k))
 }
 
-// tendOwned goes on with takeovers and refreshes what the cells know of each
-// other.
-func (s *Service) tendOwned(ctx context.Context, p *plan, now time.Time) {
+// tickOwned continues takeovers and gives each owned cell the load of the pool's other
+// cells.
+func (s *Service) tickOwned(ctx context.Context, p *plan, now time.Time) {
 	var pulls []func()
 	s.owned.each(func(k holds.Key, c *ownedCell) {
 		c.owner.Tick(now)
 		c.owner.SetOthers(s.othersOf(p, k, now))
-		for _, h := range c.advance(now) {
+		for _, h := range c.advanceTakeover(now) {
 			pulls = append(pulls, func() { s.pull(ctx, p, k, c, h) })
 		}
 	})
 	for _, f := range pulls {
 		s.spawn(f)
 	}
-	s.noteOwnTotals(now)
+	s.recordOwnTotals(now)
 }
 
-// advance ends a takeover whose time is over and returns the holders to ask
-// for their places now. Each is asked once even if it was heard before, since
-// only the answer to a pull says where chats ran.
-func (c *ownedCell) advance(now time.Time) []cell.Holder {
-	if len(c.unasked) > 0 {
-		first := c.unasked
-		c.unasked = nil
-		c.deadline, c.nextPull = now.Add(takeoverTime), now.Add(pullInterval)
+// advanceTakeover ends a takeover whose deadline has passed, and returns the holders to ask
+// for their places now. Each holder is asked once even if it has reported before, since only
+// the answer to a pull lists where chats ran.
+func (c *ownedCell) advanceTakeover(now time.Time) []cell.Holder {
+	if len(c.notPulled) > 0 {
+		first := c.notPulled
+		c.notPulled = nil
+		c.deadline, c.nextPull = now.Add(takeoverTimeout), now.Add(pullInterval)
 		return first
 	}
 	waiting := c.owner.Waiting()
@@ -146,8 +146,8 @@
 		c.deadline = time.Time{}
 		return nil
 	}
-	if c.deadline.IsZero() { // the cell found that it was paused
-		c.deadline, c.nextPull = now.Add(takeoverTime), now
+	if c.deadline.IsZero() { // the cell began a takeover by itself after a pause of the process
+		c.deadline, c.nextPull = now.Add(takeoverTimeout), now
 	}
 	if !now.Before(c.deadline) {
 		c.owner.EndTakeover()
@@ -163,9 +163,9 @@
 
 // pull asks a holder for its places and records them.
 func (s *Service) pull(ctx context.Context, p *plan, k holds.Key, c *ownedCell, h cell.Holder) {
-	m, err := s.fetch(ctx, p, k, h)
+	m, err := s.fetchPlaces(ctx, p, k, h)
 	if err != nil {
-		s.log.Debug("places not told", "node", h.Node, "pool", k.Pool, "cell", k.Cell, "err", err)
+		s.log.Debug("pull failed", "node", h.Node, "pool", k.Pool, "cell", k.Cell, "err", err)
 		return
 	}
 	c.mu.Lock()
@@ -176,9 +176,9 @@
 	c.owner.EndWait(h)
 }
 
-func (s *Service) fetch(ctx context.Context, p *plan, k holds.Key, h cell.Holder) (holds.Resync, error) {
+func (s *Service) fetchPlaces(ctx context.Context, p *plan, k holds.Key, h cell.Holder) (holds.Resync, error) {
 	if h.Node == s.cfg.Node {
-		return s.account(p, k), nil
+		return s.fullResync(p, k), nil
 	}
 	n, ok := p.inputs.view.Node(h.Node)
 	if !ok {
--- a/admission/plan.go
+++ b/admission/plan.go
@@ -14,30 +14,31 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// inputs are the snapshots that a plan is made of.
+// inputs are the snapshots that a plan is computed from.
 type inputs struct {
 	settings *settings.Snapshot
 	view     *membership.View
 	targets  *targets.Snapshot
 }
 
-// plan says which cells there are, which targets they hold and who owns them,
-// as this node sees it. It never changes; what it says of a pool in a region is
-// worked out when first asked for, since a node uses few of the fleet's targets.
+// plan has the pools' cells, the targets of each cell and the cells' owners, as computed
+// from this node's inputs. Its inputs never change. The groups of a pool in a region and the
+// owners of a region's cells are computed on first use, since a node uses few of the fleet's
+// targets.
 type plan struct {
-	inputs inputs
-	region string
-	pools  map[string]poolConfig
-	duty   map[string]duty // by region
+	inputs     inputs
+	region     string
+	pools      map[string]poolConfig
+	candidates map[string]ownerCandidates // by region
 
 	mu     sync.Mutex
 	groups map[groupKey]*group
 	owners map[string]map[holds.Key]membership.Node // by region
 }
 
-// poolConfig is what all settings documents together say of a pool. If they
-// differ, the strictest bound and the most cells hold, so that every node
-// comes to the same.
+// poolConfig is the configuration of a pool, merged from all settings documents. If they
+// differ, the strictest bound and the largest number of cells are used, so that every node
+// gets the same result.
 type poolConfig struct {
 	cell  cell.Config
 	cells int
@@ -51,26 +52,26 @@
 	live   []targets.Target // not leaving
 	hashes []uint64         // of live
 	cells  []int            // of live
-	index  map[string]int   // target ID to its place in live
+	index  map[string]int   // target ID to its index in live
 }
 
-// duty is the nodes of a region that may own cells.
-type duty struct {
+// ownerCandidates are the nodes of a region that may own cells.
+type ownerCandidates struct {
 	nodes  []membership.Node
 	hashes []uint64
 }
 
-// newPlan returns the plan of a node in the given region. Nodes that left
-// hand their cells over although the view has them.
+// newPlan returns the plan of a node in the given region. Nodes for which left returns true
+// own no cells, even if the view lists them as possible owners.
 func newPlan(in inputs, region string, left func(membership.Node) bool) *plan {
 	p := &plan{
 		inputs: in, region: region, pools: poolConfigs(in.settings),
-		groups: make(map[groupKey]*group), duty: make(map[string]duty),
+		groups: make(map[groupKey]*group), candidates: make(map[string]ownerCandidates),
 		owners: make(map[string]map[holds.Key]membership.Node),
 	}
 	for _, n := range in.view.Nodes {
-		if _, ok := p.duty[n.Region]; !ok {
-			p.duty[n.Region] = newDuty(in.view.Duty(n.Region), left)
+		if _, ok := p.candidates[n.Region]; !ok {
+			p.candidates[n.Region] = newOwnerCandidates(in.view.Duty(n.Region), left)
 		}
 	}
 	return p
@@ -114,8 +115,8 @@
 	return a
 }
 
-// in returns a pool's targets in one region.
-func (p *plan) in(pool, region string) *group {
+// groupIn returns a pool's targets in one region.
+func (p *plan) groupIn(pool, region string) *group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := groupKey{pool, region}
@@ -145,8 +146,8 @@
 	return g
 }
 
-func newDuty(nodes []membership.Node, left func(membership.Node) bool) duty {
-	var d duty
+func newOwnerCandidates(nodes []membership.Node, left func(membership.Node) bool) ownerCandidates {
+	var d ownerCandidates
 	for _, n := range nodes {
 		if left(n) {
 			continue
@@ -157,8 +158,8 @@
 	return d
 }
 
-// owner returns the node that owns a cell. The cells of a region go to its duty
-// nodes by rendezvous with a bound on the cells of a node.
+// owner returns the node that owns a cell. The cells of a region are assigned to its
+// candidates by rendezvous hashing with a bound on the number of cells for each node.
 func (p *plan) owner(k holds.Key) (membership.Node, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,7 +182,7 @@
 		}
 	}
 	owners := make(map[holds.Key]membership.Node, len(keys))
-	d := p.duty[region]
+	d := p.candidates[region]
 	for i, n := range routing.Assign(names, d.hashes) {
 		owners[keys[i]] = d.nodes[n]
 	}
@@ -198,10 +199,10 @@
 	return out
 }
 
-// cellTargets returns the targets of a cell, the leaving ones included.
+// cellTargets returns the targets of a cell, including those that are leaving.
 func (p *plan) cellTargets(k holds.Key) []cell.Target {
 	var out []cell.Target
-	for _, t := range p.in(k.Pool, k.Region).all {
+	for _, t := range p.groupIn(k.Pool, k.Region).all {
 		if cell.Of(t.ID, k.Of) == k.Cell {
 			out = append(out, cell.Target{ID: t.ID, Capacity: t.Capacity, Leaving: t.Leaving, Incarnation: t.Incarnation})
 		}
@@ -209,11 +210,11 @@
 	return out
 }
 
-// nearest returns a pool's targets in this node's region, else in the region
-// that comes first in the rendezvous order of the pool among those that have
-// live ones.
+// nearest returns a pool's targets in this node's region if any is live there. Otherwise it
+// returns those of the region that ranks first in the pool's rendezvous order among the
+// regions with live targets.
 func (p *plan) nearest(pool string) (*group, string) {
-	if g := p.in(pool, p.region); len(g.live) > 0 {
+	if g := p.groupIn(pool, p.region); len(g.live) > 0 {
 		return g, p.region
 	}
 	var region string
@@ -224,16 +225,16 @@
 			region, score = t.Region, s
 		}
 	}
-	return p.in(pool, region), region
+	return p.groupIn(pool, region), region
 }
 
-// stale says that the pool is divided otherwise now.
+// stale reports whether the pool now has another number of cells than k.
 func (p *plan) stale(k holds.Key) bool {
 	c, ok := p.pools[k.Pool]
 	return ok && c.cells != k.Of
 }
 
-// keyOf returns the cell that a target of k is in now.
+// keyOf returns the cell to which a target of k belongs now.
 func (p *plan) keyOf(k holds.Key, target string) holds.Key {
 	k.Of = p.pools[k.Pool].cells
 	k.Cell = cell.Of(target, k.Of)
@@ -242,7 +243,7 @@
 
 // liveTarget returns a target that isn't leaving.
 func (p *plan) liveTarget(k holds.Key, id string) (targets.Target, bool) {
-	g := p.in(k.Pool, k.Region)
+	g := p.groupIn(k.Pool, k.Region)
 	i, ok := g.index[id]
 	if !ok {
 		return targets.Target{}, false
--- a/admission/releases.go
+++ b/admission/releases.go
@@ -7,7 +7,7 @@
 	"github.com/knapweedgw/knapweedgw/admission/holds"
 )
 
-// releases gathers ended places until they are sent, by the node to be told.
+// releases collects ended places until they are sent, grouped by the node to send them to.
 type releases struct {
 	mu    sync.Mutex
 	queue map[string]map[holds.Key]*holds.Released
@@ -37,7 +37,7 @@
 	}
 }
 
-// take empties the queue.
+// take returns the queue's content and empties it.
 func (r *releases) take() map[string][]holds.Released {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admission/serve.go
+++ b/admission/serve.go
@@ -11,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/peer"
 )
 
-// The methods between nodes. Release and totals are notifications.
+// Methods called between nodes. Release and totals are notifications.
 const (
 	methodAcquire = "admission.acquire"
 	methodRelease = "admission.release"
@@ -31,7 +31,8 @@
 	s.hub.Handle(methodTotals, notice(s, methodTotals, s.serveTotals))
 }
 
-// handler decodes a call for f, encodes its result and counts the bytes.
+// handler returns a peer.Handler that decodes a call for f, encodes its result and counts
+// the bytes.
 func handler[M, R any](s *Service, method string, f func(M) R) peer.Handler {
 	in, out := s.metrics.bytes.WithLabelValues("in", method), s.metrics.bytes.WithLabelValues("out", method)
 	return func(_ context.Context, params json.RawMessage) (any, error) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// notice decodes a notification for f and counts its bytes.
+// notice returns a peer.Handler that decodes a notification for f and counts its bytes.
 func notice[M any](s *Service, method string, f func(M)) peer.Handler {
 	in := s.metrics.bytes.WithLabelValues("in", method)
 	return func(_ context.Context, params json.RawMessage) (any, error) {
@@ -62,7 +63,7 @@
 
 func (s *Service) serveAcquire(m holds.Acquire) holds.Reply {
 	for _, f := range m.LeavingNodes {
-		s.noteLeft(f)
+		s.recordLeaving(f)
 	}
 	m.Region = s.cfg.Region
 	return s.acquireOwned(m)
@@ -79,7 +80,7 @@
 	defer c.mu.Unlock()
 	r := c.owner.Acquire(s.now(), m)
 	if r.Code == holds.Full {
-		r.Least = 1 + s.totals.least(m.Key)
+		r.Least = 1 + s.totals.leastLoaded(m.Key)
 	}
 	return r
 }
@@ -130,12 +131,12 @@
 
 func (s *Service) servePull(m holds.Pull) holds.Resync {
 	m.Region = s.cfg.Region
-	return s.account(s.plan(), m.Key)
+	return s.fullResync(s.plan(), m.Key)
 }
 
-// account is all that a new owner should know from this node: its places in a
-// cell, and where its chats of late ran.
-func (s *Service) account(p *plan, k holds.Key) holds.Resync {
+// fullResync returns all that a new owner needs from this node: its places in a cell, and
+// the targets on which its recent chats ran.
+func (s *Service) fullResync(p *plan, k holds.Key) holds.Resync {
 	m := s.table.BuildResync(k, cell.Holder{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/admission/service.go
+++ b/admission/service.go
@@ -20,19 +20,19 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// Intervals of the service's work.
+// Intervals and limits of the service's work.
 const (
 	tickInterval     = 50 * time.Millisecond
 	totalsInterval   = cell.DefaultGap
-	releaseDelay     = 25 * time.Millisecond // releases are gathered that long
+	releaseDelay     = 25 * time.Millisecond // releases are collected that long before they are sent
 	reportDelay      = 200 * time.Millisecond
 	resyncRetry      = time.Second
 	resyncTimeout    = time.Second
-	takeoverTime     = time.Second
+	takeoverTimeout  = time.Second
 	pullInterval     = 250 * time.Millisecond
-	silentIntervals  = 3 // resync intervals after which a silent node's places are dropped
-	leftRemembered   = 30 * time.Second
-	drainFlushBudget = 500 * time.Millisecond
+	silentIntervals  = 3 // resync intervals after which the places of a node that sent nothing are dropped
+	leavingTTL       = 30 * time.Second
+	stopFlushTimeout = 500 * time.Millisecond
 	recentChats      = 4096 // chats whose last target a node remembers
 	recentMaxAge     = 5 * time.Minute
 )
@@ -44,7 +44,7 @@
 	Notify(ctx context.Context, addr, method string, params any) error
 }
 
-// SettingsSource gives the settings in force, nil before the first.
+// SettingsSource provides the settings in force, nil before the first.
 type SettingsSource interface{ Snapshot() *settings.Snapshot }
 
 // Config identifies the node and sets its timing.
@@ -52,15 +52,14 @@
 	Node        string
 	Incarnation int64
 	Region      string
-	// Timeout is the shortest wait for an owner's answer before the local
-	// estimate decides.
+	// Timeout is the shortest wait for an owner's answer before the local estimate decides.
 	Timeout time.Duration
-	// Resync is the interval of a node's full account to each owner.
+	// Resync is the interval at which a node sends each owner the list of all its places.
 	Resync time.Duration
 }
 
-// Service admits requests together with the services of the other nodes: it
-// asks the owners of cells for places, and owns cells itself.
+// Service admits requests together with the services of the other nodes: it asks the owners
+// of cells for places, and owns cells itself.
 type Service struct {
 	cfg     Config
 	self    holds.From
@@ -74,23 +73,23 @@
 	targets  TargetSource
 	settings SettingsSource
 
-	local    *Local
+	local    *LocalEstimator
 	table    *holds.Table
 	releases *releases
-	owned    *owned
+	owned    *ownedCells
 	totals   *totals
 	draining atomic.Bool
 
-	mu         sync.Mutex
-	links      map[string]*link
-	left       map[string]leaver
-	planned    *plan
-	nextTotals time.Time
-	recent     *cell.Memory // where this node's chats last ran
+	mu          sync.Mutex
+	links       map[string]*link
+	leaving     map[string]leavingNode
+	currentPlan *plan
+	nextTotals  time.Time
+	recent      *cell.Memory // the targets on which this node's chats last ran
 }
 
-// leaver is a node that said that it hands its cells over.
-type leaver struct {
+// leavingNode is a node that has announced that it hands its cells over.
+type leavingNode struct {
 	incarnation int64
 	until       time.Time
 }
@@ -101,7 +100,7 @@
 		cfg: cfg, self: holds.From{Node: cfg.Node, Incarnation: cfg.Incarnation},
 		log: l, metrics: newMetrics(reg), now: time.Now, spawn: func(f func()) { go f() },
 		releases: newReleases(), owned: newOwned(), totals: newTotals(),
-		links: make(map[string]*link), left: make(map[string]leaver),
+		links: make(map[string]*link), leaving: make(map[string]leavingNode),
 		recent: cell.NewMemory(recentChats),
 	}
 	s.table = holds.NewTable(s.self, holds.Timing{Interval: cfg.Resync, Retry: resyncRetry, Report: reportDelay})
@@ -136,7 +135,7 @@
 
 func (s *Service) connect(hub Caller, view membership.Source, t TargetSource, set SettingsSource) {
 	s.hub, s.view, s.targets, s.settings = hub, view, t, set
-	s.local = NewLocal(t)
+	s.local = NewLocalEstimator(t)
 	s.local.now = func() time.Time { return s.now() }
 	s.serve()
 }
@@ -148,36 +147,35 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: from now on this node owns no cell and says
-// so to who asks. Its own requests go on.
+// Drain implements kernel.Drainer: from now on this node owns no cell and answers asks for a
+// cell with NotOwner. Its own requests continue.
 func (s *Service) Drain(context.Context) error {
 	s.draining.Store(true)
-	s.replan()
+	s.invalidatePlan()
 	return nil
 }
 
-// Stop implements kernel.Stopper: it sends the releases that are left.
+// Stop implements kernel.Stopper: it sends the releases that are still queued.
 func (s *Service) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, drainFlushBudget)
+	ctx, cancel := context.WithTimeout(ctx, stopFlushTimeout)
 	defer cancel()
 	s.flush(ctx)
 	return nil
 }
 
-// Observe takes a target's report of its requests in flight, for the local
-// estimate.
+// Observe records a target's report of its requests in flight, for the local estimate.
 func (s *Service) Observe(target string, inFlight int, at time.Time) {
 	s.local.Observe(target, inFlight, at)
 }
 
-// tick does what is due: it follows changes of the plan, tells owners what
-// this node holds, and tends the cells owned.
+// tick does the periodic work: it applies changes of the plan, sends resyncs that are due
+// and updates the owned cells.
 func (s *Service) tick(ctx context.Context) {
 	now := s.now()
 	p := s.plan()
 	s.table.Rekey(now, p.stale, p.keyOf)
 	s.resyncDue(ctx, p)
-	s.tendOwned(ctx, p, now)
+	s.tickOwned(ctx, p, now)
 	if s.totalsDue(now) {
 		s.sendTotals(ctx, p, now)
 		s.expire(p, now)
@@ -194,7 +192,7 @@
 	return true
 }
 
-// expire drops what is known of nodes that are gone and targets not in use.
+// expire removes the records of nodes that are gone and of targets that aren't in use.
 func (s *Service) expire(p *plan, now time.Time) {
 	dead := func(h cell.Holder) bool {
 		n, ok := p.inputs.view.Node(h.Node)
@@ -205,9 +203,9 @@
 	s.local.expire(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.left {
+	for id, l := range s.leaving {
 		if now.After(l.until) {
-			delete(s.left, id)
+			delete(s.leaving, id)
 		}
 	}
 	for id := range s.links {
@@ -217,67 +215,67 @@
 	}
 }
 
-// plan returns the plan of the current snapshots. A new plan is put in force
-// in the owned cells before it is returned.
+// plan returns the plan of the current snapshots. A new plan is applied to the owned cells
+// before it is returned.
 func (s *Service) plan() *plan {
 	in := inputs{settings: s.settings.Snapshot(), view: s.view.View(), targets: s.targets.Snapshot()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.planned != nil && s.planned.inputs == in {
-		return s.planned
+	if s.currentPlan != nil && s.currentPlan.inputs == in {
+		return s.currentPlan
 	}
-	p := newPlan(in, s.cfg.Region, s.hasLeft)
-	s.planned = p
-	s.ownPlanned(p)
+	p := newPlan(in, s.cfg.Region, s.isLeaving)
+	s.currentPlan = p
+	s.updateOwned(p)
 	return p
 }
 
-// replan makes the next call of plan begin anew.
-func (s *Service) replan() {
+// invalidatePlan makes the next call of plan compute a new one.
+func (s *Service) invalidatePlan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.planned = nil
+	s.currentPlan = nil
 }
 
-// hasLeft says whether a node hands its cells over though its view entry is
-// still good.
-func (s *Service) hasLeft(n membership.Node) bool {
+// isLeaving reports whether a node hands its cells over although it still may own cells
+// according to the view.
+func (s *Service) isLeaving(n membership.Node) bool {
 	if n.ID == s.cfg.Node {
 		return s.draining.Load()
 	}
-	l, ok := s.left[n.ID]
+	l, ok := s.leaving[n.ID]
 	return ok && n.Incarnation <= l.incarnation
 }
 
-// noteLeft remembers a node that hands its cells over.
-func (s *Service) noteLeft(f holds.From) {
+// recordLeaving records that a node hands its cells over.
+func (s *Service) recordLeaving(f holds.From) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, ok := s.left[f.Node]; ok && l.incarnation >= f.Incarnation || f.Node == s.cfg.Node {
+	if l, ok := s.leaving[f.Node]; ok && l.incarnation >= f.Incarnation || f.Node == s.cfg.Node {
 		return
 	}
-	s.left[f.Node] = leaver{incarnation: f.Incarnation, until: s.now().Add(leftRemembered)}
-	s.planned = nil
+	s.leaving[f.Node] = leavingNode{incarnation: f.Incarnation, until: s.now().Add(leavingTTL)}
+	s.currentPlan = nil
 }
 
-// leavers returns the nodes that hand their cells over, this one included,
-// while the view doesn't show it yet.
-func (s *Service) leavers() []holds.From {
+// leavingNodes returns the nodes that hand their cells over, this one included, while the
+// view doesn't show it yet.
+func (s *Service) leavingNodes() []holds.From {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.left) == 0 && !s.draining.Load() {
+	if len(s.leaving) == 0 && !s.draining.Load() {
 		return nil
 	}
 	var out []holds.From
 	for _, n := range s.view.View().Nodes {
-		if n.State <= membership.Suspect && s.hasLeft(n) {
+		if n.State <= membership.Suspect && s.isLeaving(n) {
 			out = append(out, holds.From{Node: n.ID, Incarnation: n.Incarnation})
 		}
 	}
 	return out
 }
 
-// call runs a method on another node and counts its bytes.
+// call calls a method on another node and counts the bytes sent and received.
 func (s *Service) call(ctx context.Context, n membership.Node, method string, params, result any) error {
 	raw, err := s.encode(method, params)
 	if err != nil {
--- a/admission/service_test.go
+++ b/admission/service_test.go
@@ -19,20 +19,20 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// load is the places that callers really hold, by target.
-type load struct {
+// heldPlaces are the places that callers hold, and their number on each target.
+type heldPlaces struct {
 	grants []Grant
 	counts map[string]int
 }
 
-func newLoad() *load { return &load{counts: make(map[string]int)} }
+func newHeldPlaces() *heldPlaces { return &heldPlaces{counts: make(map[string]int)} }
 
-func (l *load) add(g Grant) {
+func (l *heldPlaces) add(g Grant) {
 	l.grants = append(l.grants, g)
 	l.counts[g.Target.ID]++
 }
 
-func (l *load) release(i int) {
+func (l *heldPlaces) release(i int) {
 	g := l.grants[i]
 	g.Release(Answered)
 	l.grants = slices.Delete(l.grants, i, i+1)
@@ -41,22 +41,22 @@
 	}
 }
 
-// bound is ceil(c × mean) with the requests there are now.
-func (l *load) bound(engines int) int {
+// bound is ceil(c × mean) of the places held now.
+func (l *heldPlaces) bound(engines int) int {
 	return int(math.Ceil(settings.DefaultLoadFactor * float64(len(l.grants)) / float64(engines)))
 }
 
-// TestBoundWhicheverNodeAsks: at one view, no grant takes a target beyond
-// ceil(c × mean), whichever node asks and however many cells there are.
+// TestBoundWhicheverNodeAsks: while all nodes have the same view, no grant takes a target
+// beyond ceil(c × mean), for any asking node and number of cells.
 func TestBoundWhicheverNodeAsks(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const nodes, engines = 4, 6
 		f := newFleet(nodes, engines, rapid.IntRange(1, 3).Draw(rt, "cells"))
-		held := newLoad()
+		held := newHeldPlaces()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			if len(held.grants) > 0 && rapid.IntRange(0, 3).Draw(rt, "release") == 0 {
 				held.release(rapid.IntRange(0, len(held.grants)-1).Draw(rt, "place"))
-				f.share()
+				f.exchangeTotals()
 				continue
 			}
 			g, err := f.acquire(rapid.IntRange(0, nodes-1).Draw(rt, "node"), rapid.Uint64Range(0, 3).Draw(rt, "chat"))
@@ -67,19 +67,19 @@
 			if n, limit := held.counts[g.Target.ID], held.bound(engines); n > limit {
 				rt.Fatalf("%s has %d requests, limit %d of %v", g.Target.ID, n, limit, held.counts)
 			}
-			f.share()
+			f.exchangeTotals()
 		}
 		for _, n := range f.nodes {
 			if n.requests(outcomeFallback) > 0 {
-				rt.Fatal("the estimate decided without a fault")
+				rt.Fatal("placed by the local estimate without a fault")
 			}
 		}
 	})
 }
 
-// TestLateTotalsDontTurnToTheEstimate: a pool that fills faster than its owners
-// tell each other still places by their counts.
-func TestLateTotalsDontTurnToTheEstimate(t *testing.T) {
+// TestLateTotalsDontCauseFallback: while a pool fills faster than its owners exchange
+// totals, requests are still placed by the owners' counts.
+func TestLateTotalsDontCauseFallback(t *testing.T) {
 	const nodes, engines, cells, requests = 4, 8, 4, 200
 	f := newFleet(nodes, engines, cells)
 	for i := range requests {
@@ -92,12 +92,12 @@
 	}
 }
 
-// TestNoOwnerFaultLosesARequest: whatever is wrong with the owner, a request
-// gets a place, and the count is exact again after it is mended.
+// TestNoOwnerFaultLosesARequest: with any fault of the owner, a request gets a place, and
+// the count is exact again once the fault has ended.
 func TestNoOwnerFaultLosesARequest(t *testing.T) {
 	tests := []struct {
 		name   string
-		break_ func(f *fleet, owner *fakeNode)
+		inject func(f *fleet, owner *fakeNode)
 		reason string // of the fallback; empty if an owner decides
 	}{
 		{"healthy", func(*fleet, *fakeNode) {}, ""},
@@ -105,12 +105,12 @@
 		{"frozen", func(_ *fleet, o *fakeNode) { o.fault = faultFrozen }, reasonTimeout},
 		{"answers too late", func(_ *fleet, o *fakeNode) { o.fault = faultSlow }, reasonTimeout},
 		{"hands over", func(_ *fleet, o *fakeNode) { _ = o.Drain(context.Background()) }, reasonRecovering},
-		{"says another owns it", func(f *fleet, o *fakeNode) { o.views.v.Store(f.view(o.cfg.Node)) }, reasonNotOwner},
+		{"has another owner in its view", func(f *fleet, o *fakeNode) { o.views.v.Store(f.view(o.cfg.Node)) }, reasonNotOwner},
 		{"has no settings", func(_ *fleet, o *fakeNode) { o.settings.v.Store(nil) }, reasonNotOwner},
 		{"dead in every view", func(f *fleet, o *fakeNode) {
 			o.fault = faultUnreachable
 			f.setViews(f.view(o.cfg.Node))
-			f.pass(0)
+			f.advance(0)
 		}, ""},
 	}
 	for _, tt := range tests {
@@ -119,8 +119,8 @@
 			f := newFleet(4, 6, 1)
 			owner := f.owner(t, 0)
 			asker := slices.IndexFunc(f.nodes, func(n *fakeNode) bool { return n != owner })
-			tt.break_(f, owner)
-			held := newLoad()
+			tt.inject(f, owner)
+			held := newHeldPlaces()
 			g, err := f.acquire(asker, 1)
 			is.NoErr(err)
 			held.add(g)
@@ -143,13 +143,13 @@
 	}
 }
 
-// TestViewChangesHeal: while nodes hold different views and calls fail, every
+// TestCountsExactAfterViewChanges: while nodes have different views and calls fail, every
 // request gets a place; once the views agree, the counts become exact.
-func TestViewChangesHeal(t *testing.T) {
+func TestCountsExactAfterViewChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const nodes, engines = 4, 4
 		f := newFleet(nodes, engines, rapid.IntRange(1, 2).Draw(rt, "cells"))
-		held := newLoad()
+		held := newHeldPlaces()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			n := rapid.IntRange(0, nodes-1).Draw(rt, "node")
 			switch rapid.SampledFrom([]string{"acquire", "acquire", "acquire", "release", "view", "fault", "pass"}).Draw(rt, "kind") {
@@ -169,7 +169,7 @@
 			case "fault":
 				f.nodes[n].fault = fault(rapid.IntRange(0, int(faultSlow)).Draw(rt, "fault"))
 			default:
-				f.pass(time.Duration(rapid.IntRange(10, 1500).Draw(rt, "ms")) * time.Millisecond)
+				f.advance(time.Duration(rapid.IntRange(10, 1500).Draw(rt, "ms")) * time.Millisecond)
 			}
 		}
 		for _, n := range f.nodes {
@@ -183,12 +183,12 @@
 	})
 }
 
-// TestNewOwnerKnowsThePlaces: a killed owner's successor pulls all places
-// before it grants, so that the bound holds on.
-func TestNewOwnerKnowsThePlaces(t *testing.T) {
+// TestNewOwnerPullsPlaces: the successor of a killed owner pulls all places before it grants
+// any, so that the bound still holds.
+func TestNewOwnerPullsPlaces(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5, 4, 1)
-	held := newLoad()
+	held := newHeldPlaces()
 	owner := f.owner(t, 0)
 	asker := slices.IndexFunc(f.nodes, func(n *fakeNode) bool { return n != owner })
 	for chat := range uint64(40) {
@@ -198,19 +198,19 @@
 	}
 	owner.fault = faultUnreachable
 	f.setViews(f.view(owner.cfg.Node))
-	f.pass(0)
+	f.advance(0)
 	is.Equal(f.counted(), held.counts)
 	for range 40 {
-		g, err := f.acquire(asker, 1) // one chat: all would go to its home
+		g, err := f.acquire(asker, 1) // one chat: without a bound all would go to the target with the highest rank
 		is.NoErr(err)
 		held.add(g)
 		is.True(held.counts[g.Target.ID] <= held.bound(4))
 	}
 }
 
-// TestNewOwnerKnowsTheChats: a killed owner's successor sends a chat back to
-// where it ran, though that isn't its home.
-func TestNewOwnerKnowsTheChats(t *testing.T) {
+// TestNewOwnerPullsChats: the successor of a killed owner sends a chat to the target on
+// which it ran, even if another target ranks higher for it.
+func TestNewOwnerPullsChats(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5, 4, 1)
 	owner := f.owner(t, 0)
@@ -226,10 +226,10 @@
 	for _, g := range grants {
 		g.Release(Answered)
 	}
-	f.pass(releaseDelay)
+	f.advance(releaseDelay)
 	owner.fault = faultUnreachable
 	f.setViews(f.view(owner.cfg.Node))
-	f.pass(0)
+	f.advance(0)
 	back := 0
 	for chat, target := range ran {
 		g, err := f.acquire(asker, chat)
@@ -238,13 +238,13 @@
 			back++
 		}
 		g.Release(Answered)
-		f.pass(releaseDelay)
+		f.advance(releaseDelay)
 	}
 	is.Equal(back, len(ran))
 }
 
-// TestResyncBuiltBeforeTheGrant: an account that was built while an ask was
-// under way, and comes after the grant, doesn't lose the place.
+// TestResyncBuiltBeforeTheGrant: a resync that was built while an ask was pending, and
+// arrives after the grant, doesn't remove the place.
 func TestResyncBuiltBeforeTheGrant(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 4, 1)
@@ -267,11 +267,11 @@
 
 func TestLeavingTargetGetsNothingNew(t *testing.T) {
 	tests := []struct {
-		name  string
-		knows func(f *fleet, owner, asker *fakeNode) []*fakeNode
+		name      string
+		leavingAt func(f *fleet, owner, asker *fakeNode) []*fakeNode
 	}{
-		{"only the asking node knows", func(_ *fleet, _, asker *fakeNode) []*fakeNode { return []*fakeNode{asker} }},
-		{"only the owner knows", func(_ *fleet, owner, _ *fakeNode) []*fakeNode { return []*fakeNode{owner} }},
+		{"leaving only in the asking node's list", func(_ *fleet, _, asker *fakeNode) []*fakeNode { return []*fakeNode{asker} }},
+		{"leaving only in the owner's list", func(_ *fleet, owner, _ *fakeNode) []*fakeNode { return []*fakeNode{owner} }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -285,10 +285,10 @@
 			for i := range list {
 				list[i].Leaving = list[i].ID == before.Target.ID
 			}
-			for _, n := range tt.knows(f, owner, f.nodes[asker]) {
+			for _, n := range tt.leavingAt(f, owner, f.nodes[asker]) {
 				n.targets.v.Store(&targets.Snapshot{Pools: map[string][]targets.Target{testPool: list}})
 			}
-			held := newLoad()
+			held := newHeldPlaces()
 			held.add(before)
 			for range 10 {
 				g, err := f.acquire(asker, 1)
@@ -296,8 +296,8 @@
 				is.True(g.Target.ID != before.Target.ID)
 				held.add(g)
 			}
-			f.pass(releaseDelay)
-			is.Equal(f.counted(), held.counts) // the work in flight stays counted
+			f.advance(releaseDelay)
+			is.Equal(f.counted(), held.counts) // the requests in flight stay counted
 		})
 	}
 }
@@ -305,7 +305,7 @@
 func TestCellsChange(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 6, 1)
-	held := newLoad()
+	held := newHeldPlaces()
 	for chat := range uint64(20) {
 		g, err := f.acquire(int(chat)%3, chat)
 		is.NoErr(err)
@@ -317,12 +317,12 @@
 	for len(held.grants) > 0 {
 		held.release(0)
 	}
-	f.pass(releaseDelay)
+	f.advance(releaseDelay)
 	is.Equal(f.counted(), held.counts)
 }
 
 func TestRefusals(t *testing.T) {
-	// The one workspace may also be told that it is over its share.
+	// The only workspace may also be refused for exceeding its share.
 	saturated := []problem.Reason{problem.Saturated, problem.WorkspaceLimit}
 	full := func(cells int) *fleet {
 		f := newFleet(3, 3, cells)
@@ -335,7 +335,7 @@
 		f.settle()
 		for chat := range uint64(3) {
 			_, _ = f.acquire(0, chat)
-			f.share()
+			f.exchangeTotals()
 		}
 		return f
 	}
@@ -365,29 +365,29 @@
 	}
 }
 
-// TestDrainMovesCells: a node that drains owns nothing more; its own requests
-// stay counted at the next owner.
+// TestDrainMovesCells: a node that drains owns no cells any more; its own requests stay
+// counted at the next owner.
 func TestDrainMovesCells(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, 4, 1)
 	owner := f.owner(t, 0)
 	self := slices.Index(f.nodes, owner)
-	held := newLoad()
+	held := newHeldPlaces()
 	g, err := f.acquire(self, 1)
 	is.NoErr(err)
 	held.add(g)
 	is.NoErr(owner.Drain(context.Background()))
-	is.Equal(owner.plan().duty[testRegion].nodes, slices.DeleteFunc(f.view().Duty(testRegion), func(n membership.Node) bool { return n.ID == owner.cfg.Node }))
-	_, err = f.acquire((self+1)%4, 2) // tells the next owner
+	is.Equal(owner.plan().candidates[testRegion].nodes, slices.DeleteFunc(f.view().Duty(testRegion), func(n membership.Node) bool { return n.ID == owner.cfg.Node }))
+	_, err = f.acquire((self+1)%4, 2) // the ask announces the draining node to the next owner
 	is.NoErr(err)
-	f.pass(0)
-	f.pass(releaseDelay)
+	f.advance(0)
+	f.advance(releaseDelay)
 	is.Equal(owner.owned.len(), 0)
 	is.Equal(f.counted()[g.Target.ID] >= 1, true)
 }
 
-// TestConcurrentUse: requests through every node, changes of views and the
-// nodes' own work at the same time leave exact counts.
+// TestConcurrentUse: concurrent requests through every node, changes of views and the nodes'
+// periodic work leave exact counts.
 func TestConcurrentUse(t *testing.T) {
 	f := newFleet(3, 6, 2)
 	var wg sync.WaitGroup
--- a/admission/split_test.go
+++ b/admission/split_test.go
@@ -12,16 +12,16 @@
 	"github.com/knapweedgw/knapweedgw/settings"
 )
 
-// churn keeps a steady number of requests in flight, through all live nodes.
+// churn keeps a constant number of requests in flight, through all live nodes.
 type churn struct {
 	f    *fleet
 	rng  *rand.Rand
-	held *load
-	via  []*fakeNode // of each place held
+	held *heldPlaces
+	via  []*fakeNode // node of each place held
 	t    testing.TB
 }
 
-// step ends one request and begins another; each begins at a random node.
+// step ends one request and begins another at a random node.
 func (c *churn) step() {
 	c.end(c.rng.IntN(len(c.held.grants)))
 	c.begin()
@@ -32,7 +32,7 @@
 	c.via = slices.Delete(c.via, i, i+1)
 }
 
-// kill ends a node, and with it the requests that came in through it.
+// kill stops a node, and ends the requests that came in through it.
 func (c *churn) kill(n *fakeNode) {
 	n.fault = faultUnreachable
 	for i := len(c.via) - 1; i >= 0; i-- {
@@ -55,13 +55,13 @@
 	c.via = append(c.via, c.f.nodes[n])
 }
 
-// worst runs for a time, a step each 10 ms, and returns the largest load of a
-// target over the mean.
-func (c *churn) worst(d time.Duration, engines int) float64 {
+// maxOverMean runs for a duration, one step each 10 ms, and returns the largest load of a
+// target divided by the mean.
+func (c *churn) maxOverMean(d time.Duration, engines int) float64 {
 	worst := 0.0
 	for range d / (10 * time.Millisecond) {
 		c.step()
-		c.f.pass(10 * time.Millisecond)
+		c.f.advance(10 * time.Millisecond)
 		mean := float64(len(c.held.grants)) / float64(engines)
 		for _, n := range c.held.counts {
 			worst = max(worst, float64(n)/mean)
@@ -70,8 +70,8 @@
 	return worst
 }
 
-// viewWithout returns a view in which the owners before the given number in
-// the rendezvous order are dead, so that each number gives another owner.
+// viewWithout returns a view in which the given number of nodes that come first in the
+// rendezvous order are dead, so that each number results in another owner.
 func (f *fleet) viewWithout(owners int) *membership.View {
 	var dead []string
 	view := f.view()
@@ -85,9 +85,9 @@
 	return view
 }
 
-// TestOvershoot: with split views, a frozen owner or a killed one, no target
-// goes beyond twice the bound, and once the views agree the bound holds again
-// for every new request. The figures are logged.
+// TestOvershoot: with split views, a frozen owner or a killed one, no target's load exceeds
+// twice the bound, and once the views agree the bound holds again for every new request. The
+// largest loads are logged.
 func TestOvershoot(t *testing.T) {
 	const nodes, engines, perEngine = 8, 18, 18
 	limit := settings.DefaultLoadFactor + 1.0/perEngine // c, rounded up to whole requests
@@ -112,7 +112,7 @@
 			c.kill(c.f.owner(t, 0))
 			c.f.setViews(c.f.viewWithout(1))
 		}, limit},
-		{"owner wakes with its old view", func(c *churn) {
+		{"owner resumes with its old view", func(c *churn) {
 			o := c.f.owner(t, 0)
 			c.f.setViews(c.f.viewWithout(1))
 			o.views.v.Store(c.f.view())
@@ -122,26 +122,26 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(nodes, engines, 1)
-			c := &churn{f: f, rng: rand.New(rand.NewPCG(1, 1)), held: newLoad(), t: t}
+			c := &churn{f: f, rng: rand.New(rand.NewPCG(1, 1)), held: newHeldPlaces(), t: t}
 			for range engines * perEngine {
 				c.begin()
 			}
 			tt.start(c)
-			during := c.worst(10*time.Second, engines)
+			during := c.maxOverMean(10*time.Second, engines)
 			is.True(during <= tt.max)
 			for _, n := range f.nodes {
 				n.fault = faultNone
 			}
 			f.setViews(f.view())
-			heal := f.now
+			faultEnd := f.now
 			for !c.exact() {
-				is.True(f.now.Sub(heal) <= 6*time.Second) // a resync interval
-				f.pass(10 * time.Millisecond)
+				is.True(f.now.Sub(faultEnd) <= 6*time.Second) // a resync interval
+				f.advance(10 * time.Millisecond)
 			}
-			t.Logf("worst max/mean %.2f during the fault; counts exact %v after it", during, f.now.Sub(heal))
+			t.Logf("worst max/mean %.2f during the fault; counts exact %v after it", during, f.now.Sub(faultEnd))
 			for range 200 {
 				c.step()
-				f.pass(releaseDelay)
+				f.advance(releaseDelay)
 				g := c.held.grants[len(c.held.grants)-1]
 				is.True(c.held.counts[g.Target.ID] <= c.held.bound(engines))
 			}
--- a/admission/sync.go
+++ b/admission/sync.go
@@ -8,13 +8,13 @@
 	"github.com/knapweedgw/knapweedgw/admission/holds"
 )
 
-// The causes of a resync.
+// Causes of a resync.
 const (
 	causePeriodic    = "periodic"
 	causeOwnerChange = "owner_change"
 )
 
-// resyncDue tells each owner that is due what this node holds.
+// resyncDue sends the resyncs that are due, each to the cell's owner.
 func (s *Service) resyncDue(ctx context.Context, p *plan) {
 	due := s.table.DueResyncs(s.now(), func(k holds.Key) (cell.Holder, bool) {
 		n, ok := p.owner(k)
@@ -60,7 +60,7 @@
 	return r, err
 }
 
-// runReleases sends ended places, gathered for a short time.
+// runReleases sends ended places, collected for releaseDelay.
 func (s *Service) runReleases(ctx context.Context) {
 	for {
 		select {
@@ -77,7 +77,8 @@
 	}
 }
 
-// flush sends all ended places. One that is lost is healed by a resync.
+// flush sends all queued ended places. If one is lost, the next resync corrects the owner's
+// count.
 func (s *Service) flush(ctx context.Context) {
 	p := s.plan()
 	for node, cells := range s.releases.take() {
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -10,27 +10,27 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
-// totalsMaxAge is the age from which the totals of a cell no longer count.
+// totalsMaxAge is the age beyond which the totals of a cell aren't used.
 const totalsMaxAge = 3 * cell.DefaultQuiet
 
-// totals is the load of all cells as their owners last told it.
+// totals has the load of all cells as last announced by their owners.
 type totals struct {
 	mu    sync.Mutex
 	seq   uint64
-	cells map[holds.Key]heardTotals
+	cells map[holds.Key]receivedTotals
 }
 
-type heardTotals struct {
+type receivedTotals struct {
 	from holds.From
 	seq  uint64
 	at   time.Time
 	load cell.Totals
 }
 
-func newTotals() *totals { return &totals{cells: make(map[holds.Key]heardTotals)} }
+func newTotals() *totals { return &totals{cells: make(map[holds.Key]receivedTotals)} }
 
-// note records an owner's word unless a newer one of the same owner is known.
-func (t *totals) note(k holds.Key, h heardTotals) {
+// record stores an announcement unless a newer one from the same node is stored.
+func (t *totals) record(k holds.Key, h receivedTotals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, ok := t.cells[k]
@@ -41,7 +41,8 @@
 	t.cells[k] = h
 }
 
-// others returns the load of the pool's other cells that is known.
+// others returns the total load of the pool's other cells, as far as it was announced within
+// totalsMaxAge.
 func (t *totals) others(keys []holds.Key, self holds.Key, now time.Time) cell.Totals {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,9 +58,9 @@
 	return sum
 }
 
-// least returns the pool's cell with the least load for its capacity, or -1 if
-// no other than k is known.
-func (t *totals) least(k holds.Key) int {
+// leastLoaded returns the pool's cell, other than k, with the least load for its capacity,
+// or -1 if none was announced.
+func (t *totals) leastLoaded(k holds.Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, bestLoad := -1, 0.0
@@ -86,19 +87,20 @@
 	return s.totals.others(p.keys(k.Pool, k.Region), k, now)
 }
 
-// noteOwnTotals lets the cells of this node know each other's load.
-func (s *Service) noteOwnTotals(now time.Time) {
+// recordOwnTotals stores the totals of this node's cells, so that they count in the load of
+// its other cells.
+func (s *Service) recordOwnTotals(now time.Time) {
 	seq := s.totals.nextSeq()
 	s.owned.each(func(k holds.Key, c *ownedCell) {
 		if c.owner.Recovering() {
 			return
 		}
-		s.totals.note(k, heardTotals{from: s.self, seq: seq, at: now, load: c.owner.Totals()})
+		s.totals.record(k, receivedTotals{from: s.self, seq: seq, at: now, load: c.owner.Totals()})
 	})
 }
 
-// sendTotals tells the owners of a pool's other cells the load of the cells
-// owned here that changed.
+// sendTotals announces the load of the owned cells whose announcement is due to the owners
+// of the pool's other cells.
 func (s *Service) sendTotals(ctx context.Context, p *plan, now time.Time) {
 	byNode := make(map[string]*holds.Totals)
 	s.owned.each(func(k holds.Key, c *ownedCell) {
@@ -139,8 +141,7 @@
 	return out
 }
 
-// serveTotals records the load of cells, if the sender owns them in this
-// node's view.
+// serveTotals stores the announced load of cells that the sender owns in this node's view.
 func (s *Service) serveTotals(m holds.Totals) {
 	p := s.plan()
 	now := s.now()
@@ -150,6 +151,6 @@
 			continue
 		}
 		load := cell.Totals{InFlight: c.InFlight, Capacity: c.Capacity}
-		s.totals.note(c.Key, heardTotals{from: m.From, seq: m.Seq, at: now, load: load})
+		s.totals.record(c.Key, receivedTotals{from: m.From, seq: m.Seq, at: now, load: load})
 	}
 }
