--- a/claims/claim.go
+++ b/claims/claim.go
@@ -147,7 +147,7 @@
 		return reasonStore
 	case core.Expired:
 		return reasonExpired
-	case core.Closed:
+	case core.AttemptEnded:
 		return reasonClosed
 	default:
 		return reasonLate
--- a/claims/core/attempt.go
+++ b/claims/core/attempt.go
@@ -4,45 +4,47 @@
 
 // AttemptLimits bounds an Attempt.
 type AttemptLimits struct {
-	// Wait is the longest wait for a claim.
+	// Wait is the longest time that an attempt waits for a claim.
 	Wait time.Duration
-	// Life is the age, from the first Ask, beyond which a granted claim may
-	// no longer be used to send.
+	// Life is the time from the start of the attempt after which a granted claim no
+	// longer permits sending the request.
 	Life time.Duration
-	// Owners is the most nodes asked for one claim.
-	Owners int
+	// MaxOwners is the maximum number of nodes asked for one claim.
+	MaxOwners int
 }
 
 // DefaultAttemptLimits returns the limits used in production.
 func DefaultAttemptLimits() AttemptLimits {
-	return AttemptLimits{Wait: 2 * time.Second, Life: 5 * time.Second, Owners: 3}
+	return AttemptLimits{Wait: 2 * time.Second, Life: 5 * time.Second, MaxOwners: 3}
 }
 
-// Move is what the entry does next with an attempt.
+// Move is the next action for an attempt. The entry node, which received the request
+// from the caller, carries it out.
 type Move int
 
 // The moves of an attempt.
 const (
-	// MoveAsk: ask the next owner.
+	// MoveAsk means that the next owner is to be asked.
 	MoveAsk Move = iota
-	// MoveVerdict: the claim's state is known.
+	// MoveVerdict means that Decision.State is set.
 	MoveVerdict
-	// MoveRefuse: tell the caller that this attempt was not run.
+	// MoveRefuse means that the caller gets a refusal: this attempt was not run.
 	MoveRefuse
-	// MoveNothing: the attempt is closed; the event is too late.
+	// MoveNothing means that the event came too late: the attempt no longer waits
+	// for a claim.
 	MoveNothing
 )
 
-// Decision is a Move with what it needs.
+// Decision is a Move with its parameters.
 type Decision struct {
 	Move   Move
 	State  State
 	Holder Holder
-	// Clear means, of MoveRefuse, that no earlier attempt with the key ran the
+	// Clear means, with MoveRefuse, that no earlier attempt with the key ran the
 	// request either.
 	Clear bool
-	// Abandon means that a record of the attempt may be in the log: an End
-	// with NotRun must be recorded.
+	// Abandon means that the log may hold a claim of this attempt, which won't be
+	// used: an End with NotRun must be recorded to free the key.
 	Abandon bool
 }
 
@@ -54,44 +56,44 @@
 	closed
 )
 
-// Attempt follows one request at its entry node. It sends at most once: only
-// after a grant that came before the deadline, and never after its caller was
-// told that it was not run.
+// Attempt is the state machine of one request at its entry node. It permits sending
+// the request only after a grant that came before the deadline, and never after the
+// caller got a refusal, so that the request is sent at most once.
 type Attempt struct {
 	Ask Ask
 
-	limits   AttemptLimits
-	started  Instant
-	deadline Instant
-	phase    attemptPhase
-	asked    int
-	tainted  bool // an owner may have recorded the claim without our knowing
+	limits        AttemptLimits
+	started       Instant
+	deadline      Instant
+	phase         attemptPhase
+	failures      int
+	mayBeRecorded bool // an owner may have recorded a claim whose grant did not arrive in time
 }
 
-// NewAttempt returns an attempt that starts now. The deadline is the
-// caller's; Forever if there is none.
+// NewAttempt returns an attempt that starts now. deadline is the caller's, or Forever
+// if the caller set none.
 func NewAttempt(a Ask, now, deadline Instant, l AttemptLimits) *Attempt {
 	return &Attempt{Ask: a, limits: l, started: now, deadline: min(deadline, now+l.Wait)}
 }
 
-// Deadline is the time at which the attempt gives up asking.
+// Deadline returns the time at which the attempt stops waiting for a claim.
 func (a *Attempt) Deadline() Instant { return a.deadline }
 
-// Asked is the number of owners asked that gave no usable reply.
-func (a *Attempt) Asked() int { return a.asked }
+// Asked returns the number of calls to owners that failed.
+func (a *Attempt) Asked() int { return a.failures }
 
-// Replied handles an owner's reply.
+// Replied handles the reply of an owner.
 func (a *Attempt) Replied(now Instant, r Reply) Decision {
 	if a.phase != asking {
 		return Decision{Move: MoveNothing}
 	}
-	a.tainted = a.tainted || r.Tainted
+	a.mayBeRecorded = a.mayBeRecorded || r.MayBeRecorded
 	switch {
 	case r.Status == Decided && r.State == Granted && now < a.deadline:
 		a.phase = granted
 		return Decision{Move: MoveVerdict, State: Granted}
 	case r.Status == Decided && r.State == Granted:
-		a.tainted = true // the claim is ours, but too late
+		a.mayBeRecorded = true // the claim is recorded, but the deadline has passed
 		d := a.close(MoveRefuse)
 		d.Clear = true
 		return d
@@ -106,41 +108,43 @@
 	}
 }
 
-// Failed handles a call to an owner without a reply. seen says whether the
-// owner may have got the Ask.
-func (a *Attempt) Failed(now Instant, seen bool) Decision {
+// Failed handles a call to an owner that got no reply. delivered says whether the
+// owner may have received the Ask.
+func (a *Attempt) Failed(now Instant, delivered bool) Decision {
 	if a.phase != asking {
 		return Decision{Move: MoveNothing}
 	}
-	a.tainted = a.tainted || seen
-	a.asked++
-	if now < a.deadline && a.asked < a.limits.Owners {
+	a.mayBeRecorded = a.mayBeRecorded || delivered
+	a.failures++
+	if now < a.deadline && a.failures < a.limits.MaxOwners {
 		return Decision{Move: MoveAsk}
 	}
 	return a.close(MoveRefuse)
 }
 
-// GiveUp closes the attempt if it is still asking: its time is over or its
-// caller went away. An Ask is taken to be on its way.
+// GiveUp closes an attempt that still waits for a claim, because its deadline has
+// passed or its caller disconnected. It assumes that an Ask is in flight and may still
+// be recorded.
 func (a *Attempt) GiveUp() Decision {
 	if a.phase != asking {
 		return Decision{Move: MoveNothing}
 	}
-	a.tainted = true
+	a.mayBeRecorded = true
 	return a.close(MoveRefuse)
 }
 
 func (a *Attempt) close(m Move) Decision {
 	a.phase = closed
-	return Decision{Move: m, Abandon: a.tainted}
+	return Decision{Move: m, Abandon: a.mayBeRecorded}
 }
 
-// Valid says whether the request may be sent.
+// Valid reports whether the request may be sent now.
 func (a *Attempt) Valid(now Instant) bool {
 	return a.phase == granted && now-a.started < a.limits.Life
 }
 
-// Finish ends a granted attempt; ok is false if it had no claim or has ended.
+// Finish closes a granted attempt and returns the End to record; ok is false if the
+// attempt has no claim or is closed already.
 func (a *Attempt) Finish(o Outcome) (e End, ok bool) {
 	if a.phase != granted {
 		return End{}, false
@@ -149,7 +153,7 @@
 	return a.End(o), true
 }
 
-// End is the record of the attempt's outcome.
+// End returns the End of the attempt with the given outcome.
 func (a *Attempt) End(o Outcome) End {
 	return End{Key: a.Ask.Key, Attempt: a.Ask.Attempt, Outcome: o}
 }
--- a/claims/core/attempt_test.go
+++ b/claims/core/attempt_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// step is one thing that happens to an attempt.
+// step is one event of an attempt and its time.
 type step struct {
 	at    Instant
 	apply func(a *Attempt, now Instant) Decision
@@ -18,11 +18,11 @@
 	return func(a *Attempt, now Instant) Decision { return a.Replied(now, r) }
 }
 
-func failed(seen bool) func(*Attempt, Instant) Decision {
-	return func(a *Attempt, now Instant) Decision { return a.Failed(now, seen) }
+func failed(delivered bool) func(*Attempt, Instant) Decision {
+	return func(a *Attempt, now Instant) Decision { return a.Failed(now, delivered) }
 }
 
-func gaveUp(a *Attempt, _ Instant) Decision { return a.GiveUp() }
+func giveUp(a *Attempt, _ Instant) Decision { return a.GiveUp() }
 
 func TestAttempt(t *testing.T) {
 	grant := Reply{State: Granted}
@@ -36,17 +36,17 @@
 	}{
 		{"granted", []step{{soon, replied(grant)}}, Decision{Move: MoveVerdict, State: Granted}},
 		{"granted too late", []step{{late, replied(grant)}}, Decision{Move: MoveRefuse, Clear: true, Abandon: true}},
-		{"granted after it gave up", []step{{soon, gaveUp}, {soon, replied(grant)}}, Decision{Move: MoveNothing}},
-		{"refused, nothing written", []step{{soon, replied(out)}}, Decision{Move: MoveRefuse, Clear: true}},
-		{"refused, perhaps written", []step{{soon, replied(Reply{Status: Unavailable, Tainted: true})}}, Decision{Move: MoveRefuse, Abandon: true}},
+		{"granted after GiveUp", []step{{soon, giveUp}, {soon, replied(grant)}}, Decision{Move: MoveNothing}},
+		{"refused, nothing recorded", []step{{soon, replied(out)}}, Decision{Move: MoveRefuse, Clear: true}},
+		{"refused, perhaps recorded", []step{{soon, replied(Reply{Status: Unavailable, MayBeRecorded: true})}}, Decision{Move: MoveRefuse, Abandon: true}},
 		{"expired at the owner", []step{{soon, replied(Reply{Status: Expired})}}, Decision{Move: MoveRefuse}},
 		{"in progress", []step{{soon, replied(busy)}}, Decision{Move: MoveVerdict, State: InProgress}},
-		{"in progress, the first owner was silent", []step{{soon, failed(true)}, {soon, replied(busy)}}, Decision{Move: MoveVerdict, State: InProgress, Abandon: true}},
+		{"in progress, no reply from the first owner", []step{{soon, failed(true)}, {soon, replied(busy)}}, Decision{Move: MoveVerdict, State: InProgress, Abandon: true}},
 		{"an owner is unreachable", []step{{soon, failed(false)}}, Decision{Move: MoveAsk}},
 		{"granted by the second owner", []step{{soon, failed(true)}, {soon, replied(grant)}}, Decision{Move: MoveVerdict, State: Granted}},
 		{"three owners are unreachable", []step{{soon, failed(false)}, {soon, failed(false)}, {soon, failed(false)}}, Decision{Move: MoveRefuse}},
-		{"an owner is silent to the end", []step{{late, failed(true)}}, Decision{Move: MoveRefuse, Abandon: true}},
-		{"the caller goes away", []step{{soon, gaveUp}}, Decision{Move: MoveRefuse, Abandon: true}},
+		{"no reply from an owner until the deadline", []step{{late, failed(true)}}, Decision{Move: MoveRefuse, Abandon: true}},
+		{"the caller disconnects", []step{{soon, giveUp}}, Decision{Move: MoveRefuse, Abandon: true}},
 		{"two owners grant it", []step{{soon, replied(grant)}, {soon, replied(grant)}}, Decision{Move: MoveNothing}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -61,9 +61,10 @@
 	}
 }
 
-// TestAttemptRefusedNeverSends checks that whatever happens to an attempt, it
-// is valid only between a grant and its end, and never once refused.
-func TestAttemptRefusedNeverSends(t *testing.T) {
+// TestRefusedAttemptIsNeverValid guards against sending a request that the caller was
+// told is not run. For random events, an attempt is valid only between its grant and its
+// end, for less than AttemptLimits.Life, and never after a refusal.
+func TestRefusedAttemptIsNeverValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := DefaultAttemptLimits()
 		a := NewAttempt(Ask{}, 0, Forever, limits)
@@ -104,7 +105,7 @@
 	for a := range AttemptID(3) {
 		is.True(q.Push(end(a)))
 	}
-	is.True(!q.Push(end(3))) // no room: dropped
+	is.True(!q.Push(end(3))) // the queue is full: dropped
 	is.Equal(q.Len(), 3)
 
 	shard, batch, ok := q.Next(0)
@@ -120,10 +121,10 @@
 	is.Equal(q.WakeAt(), cfg.MinBackoff)
 	_, batch, ok = q.Next(cfg.MinBackoff)
 	is.True(ok)
-	is.Equal(batch, []End{end(0), end(1)}) // again, nothing is lost
+	is.Equal(batch, []End{end(0), end(1)}) // the same outcomes again, none is lost
 
 	q.Sent(cfg.MinBackoff, shard, false, 0)
-	is.Equal(q.WakeAt(), 3*cfg.MinBackoff) // the pause doubles
+	is.Equal(q.WakeAt(), 3*cfg.MinBackoff) // the backoff doubles
 	_, _, ok = q.Next(q.WakeAt())
 	is.True(ok)
 	q.Sent(q.WakeAt(), shard, true, 0)
--- a/claims/core/batch.go
+++ b/claims/core/batch.go
@@ -6,40 +6,41 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// maxTrim bounds the groups that one transaction removes.
+// maxTrim is the maximum number of groups that one transaction deletes.
 const maxTrim = 4
 
-// groupsPerRetention bounds the age of a group, so that claims are kept
-// little longer than the retention where traffic is low.
+// groupsPerRetention limits the time span of a group to this fraction of the retention.
+// A group is deleted as a whole, so without the limit claims would be kept far beyond
+// the retention when traffic is low.
 const groupsPerRetention = 16
 
-// batch is a transaction on its way to the store.
+// batch is the transaction that was sent to the store and has no result yet.
 type batch struct {
-	sent     Instant
-	head     Head
-	group    uint64 // the group that the records belong to
-	records  []Record
-	refs     map[Ref]Reply
-	openLog  []byte // after the transaction
-	segments int
-	trimmed  int
+	sent      Instant
+	head      Head
+	group     uint64 // the group that holds the records
+	records   []Record
+	refs      map[Ref]Reply
+	openGroup []byte // Shard.openGroup after the transaction
+	segments  int
+	trimmed   int
 }
 
-func (b *batch) has(r Ref) bool {
+func (b *batch) contains(r Ref) bool {
 	_, ok := b.refs[r]
 	return ok
 }
 
 func (b *batch) reply(r request) Reply { return b.refs[r.ref] }
 
-// answerKnown replies to the asks that the table settles without a write.
-func (s *Shard) answerKnown(now Instant) {
+// replyFromTable replies to the queued asks that need no write to the log.
+func (s *Shard) replyFromTable(now Instant) {
 	if !s.loaded {
 		return
 	}
 	kept := s.queue[:0]
 	for _, r := range s.queue {
-		p, ok := s.known(now, r)
+		p, ok := s.tableReply(now, r)
 		if !ok {
 			kept = append(kept, r)
 			continue
@@ -49,20 +50,21 @@
 	s.queue = kept
 }
 
-// known returns the reply to an ask that needs no write. What may change
-// later is said only if the table is fresh, or while the store is out.
-func (s *Shard) known(now Instant, r request) (Reply, bool) {
+// tableReply returns the reply to an ask that needs no write; ok is false if it needs
+// one. States that may still change are returned only if the table is fresh, or while
+// the store is unavailable.
+func (s *Shard) tableReply(now Instant, r request) (Reply, bool) {
 	if r.ask == nil {
 		return Reply{}, false
 	}
 	e, ok := s.table.Lookup(r.ask.Key)
 	d, state := decide(e, ok, *r.ask)
 	switch {
-	case d == decideClosed:
-		return Reply{Status: Closed}, true
+	case d == decideEnded:
+		return Reply{Status: AttemptEnded}, true
 	case d == decideClaim:
 		return Reply{}, false
-	case state == InProgress && s.abandoned(now, e):
+	case state == InProgress && s.orphaned(now, e):
 		state = Unknown
 	}
 	final := state == Granted || state == Done
@@ -76,84 +78,85 @@
 	return p, true
 }
 
-// fresh says whether the table was read since a request came, or not long
-// before.
+// fresh reports whether the table was read after the request arrived, or at most
+// MaxStateAge ago.
 func (s *Shard) fresh(now Instant, r request) bool {
-	return !s.stale && (r.arrived <= s.syncedAt || now-s.syncedAt <= s.cfg.SyncAge)
+	return !s.stale && (r.arrived <= s.syncedAt || now-s.syncedAt <= s.cfg.MaxStateAge)
 }
 
-// clear says whether the log shows that no attempt ran the key of an ask
-// before it came. A table that may be too old shows nothing.
-func (s *Shard) clear(now Instant, r request) bool {
-	vouched := r.arrived <= s.syncedAt || min(now, s.failedAt)-s.syncedAt <= s.cfg.VouchAge
-	if r.ask == nil || !s.loaded || !vouched {
+// noEarlierRun reports whether the log proves that no other attempt ran the request of
+// an ask before the ask arrived. It returns false if the table is older than MaxClearAge.
+func (s *Shard) noEarlierRun(now Instant, r request) bool {
+	recent := r.arrived <= s.syncedAt || min(now, s.failingSince)-s.syncedAt <= s.cfg.MaxClearAge
+	if r.ask == nil || !s.loaded || !recent {
 		return false
 	}
 	e, ok := s.table.Lookup(r.ask.Key)
 	return !ok || e.Phase == Free || e.Phase == Open && e.Attempt == r.ask.Attempt
 }
 
-// abandoned says whether an open claim's holder is gone or ran too long.
-func (s *Shard) abandoned(now Instant, e Entry) bool {
+// orphaned reports whether the holder of an open claim has died, or has held it longer
+// than MaxRunTime.
+func (s *Shard) orphaned(now Instant, e Entry) bool {
 	age := time.Duration(s.clock(now)-e.Clock) * time.Millisecond
-	return age > s.cfg.RunLimit || !s.alive(e.Holder)
+	return age > s.cfg.MaxRunTime || !s.alive(e.Holder)
 }
 
-// mustSync says whether a request waits for a fresher table: one that is
-// neither a write nor answered by answerKnown.
-func (s *Shard) mustSync(now Instant) bool {
+// needsRead reports whether a queued ask waits for a fresher table: it needs no write,
+// but replyFromTable left it in the queue because the table is too old.
+func (s *Shard) needsRead(now Instant) bool {
 	for _, r := range s.queue {
 		if r.ask == nil || s.fresh(now, r) {
 			continue
 		}
 		e, ok := s.table.Lookup(r.ask.Key)
-		if d, _ := decide(e, ok, *r.ask); d == decideState {
+		if d, _ := decide(e, ok, *r.ask); d == decideReply {
 			return true
 		}
 	}
 	return false
 }
 
-// clock returns the shard's clock: the head's, and the time since it was
-// read. It never runs faster than real time, whichever nodes own the shard,
-// and stands still while nobody does.
+// clock returns the shard's clock in milliseconds: that of the head plus the time since
+// the head was read or written. It never runs faster than real time, whichever nodes
+// own the shard, and stops while no node does.
 func (s *Shard) clock(now Instant) uint64 {
-	return s.head.Clock + uint64(max(0, now-s.clockFrom)/time.Millisecond)
+	return s.head.Clock + uint64(max(0, now-s.clockReadAt)/time.Millisecond)
 }
 
-// commit makes a transaction of what waits.
+// commit returns the step that writes the queued requests in one transaction.
 func (s *Shard) commit(now Instant) Step {
 	b := s.collect(now)
 	ops, err := s.encode(b)
 	if err != nil {
-		s.fail(now)
+		s.handleStoreFailure(now)
 		return Step{Kind: StepWait, Until: Forever}
 	}
 	s.batch = b
-	s.next = now + s.cfg.Interval
+	s.nextCommit = now + s.cfg.Interval
 	return Step{Kind: StepCommit, Txn: store.Txn{
 		Compares: []store.Compare{{Key: s.keys.head, ModRevision: s.revision}},
 		Ops:      ops,
 	}}
 }
 
-// collect picks the records of the next transaction: at most one for a key,
-// so that each is decided on the state that it meets.
+// collect builds the next transaction from the queue. It takes at most one record per
+// key, so that each record is decided against the state that it is applied to.
 func (s *Shard) collect(now Instant) *batch {
 	b := &batch{sent: now, head: s.head, group: s.head.Group, refs: make(map[Ref]Reply)}
 	b.head.Seq++
 	b.head.Clock = s.clock(now)
 	b.records = append(b.records, Record{Kind: KindClock, Clock: b.head.Clock})
-	taken := make(map[KeyID]bool)
+	included := make(map[KeyID]bool)
 	for _, r := range s.queue {
 		if len(b.records) > s.cfg.MaxBatch {
 			break
 		}
 		rec, reply := record(r)
-		if taken[rec.Key] {
+		if included[rec.Key] {
 			continue
 		}
-		taken[rec.Key] = true
+		included[rec.Key] = true
 		b.records = append(b.records, rec)
 		b.refs[r.ref] = reply
 	}
@@ -171,9 +174,9 @@
 	}, Reply{State: Granted}
 }
 
-// encode returns the writes of a batch: the head, the records as a segment of
-// the open group or, if they fill it, the whole group; and the removal of
-// groups beyond the retention.
+// encode returns the store operations of a batch. They write the records as a segment
+// of the open group or, if the batch closes that group, replace its segments by one
+// closed group; delete groups older than the retention; and write the head.
 func (s *Shard) encode(b *batch) ([]store.Op, error) {
 	var segment []byte
 	for _, r := range b.records {
@@ -182,45 +185,47 @@
 			return nil, err
 		}
 	}
-	b.openLog = append(s.openLog[:len(s.openLog):len(s.openLog)], segment...)
+	b.openGroup = append(s.openGroup[:len(s.openGroup):len(s.openGroup)], segment...)
 	b.segments = s.segments + 1
 	var ops []store.Op
-	if s.fills(b) {
+	if s.closesGroup(b) {
 		ops = append(ops,
-			store.Op{Key: s.keys.closed + number(b.group), Value: b.openLog},
+			store.Op{Key: s.keys.closed + formatNumber(b.group), Value: b.openGroup},
 			store.Op{Key: s.keys.segments, Delete: true, Prefix: true})
 		b.head.Group++
-		b.openLog, b.segments = nil, 0
+		b.openGroup, b.segments = nil, 0
 	} else {
-		ops = append(ops, store.Op{Key: s.keys.segments + number(b.head.Seq), Value: segment})
+		ops = append(ops, store.Op{Key: s.keys.segments + formatNumber(b.head.Seq), Value: segment})
 	}
 	ops = append(ops, s.trim(b)...)
 	head, err := encodeHead(b.head)
 	return append(ops, store.Op{Key: s.keys.head, Value: head}), err
 }
 
-// fills says whether a batch closes the open group.
-func (s *Shard) fills(b *batch) bool {
-	if b.segments >= s.cfg.GroupSegments || len(b.openLog) >= s.cfg.GroupBytes {
+// closesGroup reports whether the open group is closed with this batch, because of its
+// number of segments, its size or its time span.
+func (s *Shard) closesGroup(b *batch) bool {
+	if b.segments >= s.cfg.GroupSegments || len(b.openGroup) >= s.cfg.GroupBytes {
 		return true
 	}
 	limit := uint64(s.cfg.Retention/time.Millisecond) / groupsPerRetention
-	return b.head.Clock-s.table.started(b.group, b.head.Clock) >= limit
+	return b.head.Clock-s.table.groupStart(b.group, b.head.Clock) >= limit
 }
 
-// trim removes the oldest groups whose claims are beyond the retention.
+// trim returns the operations that delete the groups older than the retention, and
+// updates the batch's head accordingly.
 func (s *Shard) trim(b *batch) []store.Op {
 	retention := uint64((s.cfg.Retention + s.cfg.GrantAge) / time.Millisecond)
 	if b.head.Clock < retention {
 		return nil
 	}
-	oldest, ok := s.table.Expired(b.group, b.head.Clock-retention, maxTrim)
+	oldest, ok := s.table.OldestToKeep(b.group, b.head.Clock-retention, maxTrim)
 	if !ok {
 		return nil
 	}
 	var ops []store.Op
 	for g := b.head.Oldest; g < oldest; g++ {
-		ops = append(ops, store.Op{Key: s.keys.closed + number(g), Delete: true})
+		ops = append(ops, store.Op{Key: s.keys.closed + formatNumber(g), Delete: true})
 	}
 	b.trimmed = len(ops)
 	b.head.Oldest = oldest
--- a/claims/core/ends.go
+++ b/claims/core/ends.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// EndsConfig bounds an Ends.
+// EndsConfig holds the limits of an Ends.
 type EndsConfig struct {
-	// Capacity is the most outcomes kept.
+	// Capacity is the maximum number of outcomes kept.
 	Capacity int
-	// MaxBatch is the most outcomes sent in one call.
+	// MaxBatch is the maximum number of outcomes sent in one call.
 	MaxBatch int
-	// MinBackoff and MaxBackoff bound the pause after a failed call.
+	// MinBackoff and MaxBackoff limit the exponential backoff after a failed call.
 	MinBackoff, MaxBackoff time.Duration
 }
 
@@ -17,9 +17,9 @@
 	return EndsConfig{Capacity: 20000, MaxBatch: 500, MinBackoff: 200 * time.Millisecond, MaxBackoff: 5 * time.Second}
 }
 
-// Ends keeps the outcomes of attempts until an owner has recorded them. An
-// outcome that finds no room is dropped: its claim stays open, which becomes
-// unknown, and is never run again.
+// Ends queues the outcomes of attempts until an owner has recorded them. When the queue
+// is full, new outcomes are dropped: the claim of a dropped outcome stays open in the
+// log, its state turns to Unknown, and its request is never run again.
 type Ends struct {
 	cfg    EndsConfig
 	shards [Shards]endQueue
@@ -28,7 +28,7 @@
 
 type endQueue struct {
 	items   []End
-	sending int // the first items, on their way
+	sending int // number of leading items that are being sent
 	backoff time.Duration
 	retryAt Instant
 }
@@ -36,10 +36,10 @@
 // NewEnds returns an empty queue.
 func NewEnds(cfg EndsConfig) *Ends { return &Ends{cfg: cfg} }
 
-// Len returns the number of outcomes that are not yet recorded.
+// Len returns the number of outcomes that are not recorded yet.
 func (q *Ends) Len() int { return q.len }
 
-// Push adds an outcome; false means that there is no room.
+// Push adds an outcome. It returns false if the queue is full.
 func (q *Ends) Push(e End) bool {
 	if q.len >= q.cfg.Capacity {
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Next returns outcomes of one shard to send; ok is false if none is due.
-// Sent must follow before the shard's next ones are returned.
+// Next returns the outcomes of one shard to send now; ok is false if there are none.
+// It returns no more outcomes of that shard before Sent is called for it.
 func (q *Ends) Next(now Instant) (shard int, batch []End, ok bool) {
 	for i := range q.shards {
 		s := &q.shards[i]
@@ -64,9 +64,9 @@
 	return 0, nil, false
 }
 
-// Sent reports whether the outcomes last returned for a shard were recorded.
-// Those that were not are returned again after a pause; jitter in [0,1)
-// shortens it by up to a half.
+// Sent reports whether the outcomes that Next last returned for a shard were recorded.
+// If not, Next returns them again after a backoff; jitter in [0,1) shortens the backoff
+// by up to a half.
 func (q *Ends) Sent(now Instant, shard int, recorded bool, jitter float64) {
 	s := &q.shards[shard]
 	if recorded {
@@ -80,7 +80,7 @@
 	s.retryAt = now + s.backoff - time.Duration(jitter*float64(s.backoff)/2)
 }
 
-// WakeAt is the time at which Next may return outcomes again.
+// WakeAt returns the time from which Next may return outcomes again.
 func (q *Ends) WakeAt() Instant {
 	at := Forever
 	for i := range q.shards {
--- a/claims/core/layout.go
+++ b/claims/core/layout.go
@@ -8,14 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix starts the keys of the claims in the store. Below it each shard has
+// Prefix is the prefix of all keys of the claims in the store. Each shard has these keys
+// below it:
 //
 //	<shard>/open/head            the Head
-//	<shard>/open/segment/<seq>   the records of one transaction
-//	<shard>/closed/<group>       the segments of a closed group, joined
+//	<shard>/open/segment/<seq>   a segment: the records of one transaction
+//	<shard>/closed/<group>       the concatenated segments of a closed group
+//
+// Transactions add their segments to the open group. When that is closed, its segments
+// are replaced by a single value, which is deleted as a whole after the retention.
 const Prefix = "knapweedgw/claims/v1/"
 
-// layout names the keys of one shard.
+// layout holds the store keys and key prefixes of one shard.
 type layout struct{ all, open, head, segments, closed string }
 
 func newLayout(shard int) layout {
@@ -29,9 +33,10 @@
 	}
 }
 
-func number(n uint64) string { return fmt.Sprintf("%016x", n) }
+func formatNumber(n uint64) string { return fmt.Sprintf("%016x", n) }
 
-// parseNumber returns the number at the end of a key that starts with prefix.
+// parseNumber returns the number that follows prefix in key; ok is false if key doesn't
+// start with prefix. The error is ErrCorrupt if no number follows.
 func parseNumber(key, prefix string) (n uint64, ok bool, err error) {
 	text, ok := strings.CutPrefix(key, prefix)
 	if !ok {
--- a/claims/core/load.go
+++ b/claims/core/load.go
@@ -7,7 +7,7 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Loaded reports the result of the last read.
+// Loaded handles the result of a StepRead.
 func (s *Shard) Loaded(now Instant, page store.Page, err error) {
 	full := !s.loaded
 	s.Counts.Reads++
@@ -18,7 +18,7 @@
 		err = s.load(now, page, full)
 	}
 	if err != nil {
-		s.fail(now)
+		s.handleStoreFailure(now)
 	}
 }
 
@@ -28,7 +28,8 @@
 		return err
 	}
 	if !full && (head.Group != s.head.Group || head.Seq < s.head.Seq) {
-		// The segments since are in closed groups: read them all.
+		// The open group was closed since the last read, so that some of the new
+		// segments are no longer under the open prefix: read the whole log.
 		s.loaded = false
 		return nil
 	}
@@ -38,7 +39,7 @@
 		if err := s.loadClosed(page, head); err != nil {
 			return err
 		}
-		s.openLog, s.segments = nil, 0
+		s.openGroup, s.segments = nil, 0
 	}
 	if err := s.loadOpen(page, head); err != nil {
 		s.loaded = false
@@ -47,8 +48,8 @@
 	s.head, s.revision = head, revision
 	s.table.Trim(head.Oldest)
 	s.loaded, s.stale = true, false
-	s.syncedAt, s.clockFrom = s.readAt, now
-	s.failedAt = Forever
+	s.syncedAt, s.clockReadAt = s.readStartedAt, now
+	s.failingSince = Forever
 	return nil
 }
 
@@ -61,8 +62,8 @@
 	return h, page.KVs[i].ModRevision, err
 }
 
-// loadClosed applies the closed groups, oldest first: their numbers have one
-// width, so that the store's order is theirs.
+// loadClosed applies the closed groups, oldest first. Group numbers in keys have a fixed
+// width, so the order of the page is that of the groups.
 func (s *Shard) loadClosed(page store.Page, head Head) error {
 	for _, kv := range page.KVs {
 		g, ok, err := parseNumber(kv.Key, s.keys.closed)
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// loadOpen applies the segments that are newer than the table.
+// loadOpen applies the segments of the open group that the table lacks.
 func (s *Shard) loadOpen(page store.Page, head Head) error {
 	for _, kv := range page.KVs {
 		if !strings.HasPrefix(kv.Key, s.keys.segments) {
@@ -95,7 +96,7 @@
 		if err := s.applyValue(head.Group, kv.Value); err != nil {
 			return err
 		}
-		s.openLog = append(s.openLog[:len(s.openLog):len(s.openLog)], kv.Value...)
+		s.openGroup = append(s.openGroup[:len(s.openGroup):len(s.openGroup)], kv.Value...)
 		s.segments++
 	}
 	return nil
--- a/claims/core/record.go
+++ b/claims/core/record.go
@@ -5,23 +5,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrCorrupt means that a value in the store is not a log of claims.
+// ErrCorrupt is returned for a key or value in the store that can't be decoded as part
+// of a log of claims.
 var ErrCorrupt = errors.New("claims: corrupt log; delete the keys under " + Prefix + " once every claim in them is older than the retention")
 
-// Kind says what a Record tells.
+// Kind is the kind of a Record.
 type Kind uint8
 
 // The kinds of records.
 const (
-	// KindClock starts the records of a transaction with the shard's clock.
+	// KindClock sets the shard's clock; it is the first record of each transaction.
 	KindClock Kind = iota + 1
-	// KindClaim gives a key to an attempt.
+	// KindClaim grants the claim of a key to an attempt.
 	KindClaim
-	// KindEnd is the outcome of an attempt.
+	// KindEnd records the outcome of an attempt.
 	KindEnd
 )
 
-// Record is one entry of a shard's log, stored in CBOR with integer keys.
+// Record is one entry of a shard's log, encoded as CBOR with integer keys.
 type Record struct {
 	Kind        Kind        `cbor:"1,keyasint"`
 	Clock       uint64      `cbor:"2,keyasint,omitzero"` // milliseconds
@@ -32,14 +33,15 @@
 	Outcome     Outcome     `cbor:"7,keyasint,omitzero"`
 }
 
-// Head is the value that every transaction of a shard replaces; its revision
-// in the store orders the owners' writes.
+// Head is the value that every transaction of a shard replaces. A transaction requires
+// the revision of the head that its owner last read, so that concurrent owners can't
+// overwrite each other.
 type Head struct {
 	_      struct{} `cbor:",toarray"`
-	Seq    uint64   // of the last transaction
+	Seq    uint64   // sequence number of the last transaction
 	Group  uint64   // the open group, to which segments are added
 	Oldest uint64   // the oldest group that is kept
-	Clock  uint64   // milliseconds that the shard was watched by an owner
+	Clock  uint64   // milliseconds during which an owner read or wrote the shard's log
 }
 
 func appendRecord(dst []byte, r Record) ([]byte, error) {
@@ -47,7 +49,8 @@
 	return append(dst, b...), errors.Wrap(err, "claims: encode record")
 }
 
-// decodeRecords calls f with each record of a value.
+// decodeRecords calls f with each record in b. The error is ErrCorrupt if b can't be
+// decoded; f has then been called with the records before the fault.
 func decodeRecords(b []byte, f func(Record)) error {
 	for len(b) > 0 {
 		var r Record
--- a/claims/core/record_test.go
+++ b/claims/core/record_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func anyRecord(t *rapid.T) Record {
+func drawRecord(t *rapid.T) Record {
 	bytes := rapid.SliceOfN(rapid.Byte(), 16, 16)
 	return Record{
 		Kind:        Kind(rapid.IntRange(1, 3).Draw(t, "kind")),
@@ -21,9 +21,9 @@
 	}
 }
 
-func TestRecordsSurviveTheLog(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		want := rapid.SliceOfN(rapid.Custom(anyRecord), 0, 20).Draw(t, "records")
+		want := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 20).Draw(t, "records")
 		var log []byte
 		for _, r := range want {
 			var err error
@@ -52,7 +52,7 @@
 	is.NoErr(err)
 	for cut := 1; cut < len(whole); cut++ {
 		err := decodeRecords(whole[:cut], func(Record) {})
-		is.True(errors.Is(err, ErrCorrupt)) // a cut value is not taken for a shorter log
+		is.True(errors.Is(err, ErrCorrupt)) // a truncated value is not decoded as a shorter log
 	}
 	_, err = decodeHead([]byte("not a head"))
 	is.True(errors.Is(err, ErrCorrupt))
@@ -65,7 +65,7 @@
 	is.NoErr(err)
 	end, err := appendRecord(nil, Record{Kind: KindEnd, Key: KeyID{1}, Attempt: 1 << 63, Outcome: Ran})
 	is.NoErr(err)
-	is.Equal(len(claim), 71) // bytes; the capacity figures rest on them
+	is.Equal(len(claim), 71) // bytes; the capacity calculations use these sizes
 	is.Equal(len(end), 37)
 }
 
--- a/claims/core/retention_test.go
+++ b/claims/core/retention_test.go
@@ -9,10 +9,11 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// TestClaimsAreKeptForTheRetention checks that no owner forgets a claim
-// before the retention has passed in real time since the grant, however the
-// owners take turns, pause, and lose answers of the store. Grants that come
-// later than GrantAge are not used.
+// TestClaimsAreKeptForTheRetention guards against running a request a second time within
+// the retention because its claim was deleted too early. For random sequences of owners,
+// pauses and failed calls to the store, the log holds a claim for at least the retention,
+// in real time, after its grant. Grants later than GrantAge after the Ask don't count,
+// since they are not used.
 func TestClaimsAreKeptForTheRetention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now Instant
@@ -35,7 +36,7 @@
 			}
 			f := noFault
 			if rapid.IntRange(0, 9).Draw(t, "luck") == 0 {
-				f = fault(rapid.IntRange(0, int(faults)-1).Draw(t, "fault"))
+				f = fault(rapid.IntRange(0, int(faultCount)-1).Draw(t, "fault"))
 			}
 			r.advance(now, f)
 			for _, a := range r.Replies() {
@@ -52,8 +53,8 @@
 
 func keyOf(a AttemptID) KeyID { return KeyID{0: 1, 14: byte(a >> 8), 15: byte(a)} }
 
-// checkKept reads the log as a new owner does, and looks for every claim that
-// was granted within the retention.
+// checkKept reads the log with a new owner and fails the test if a claim that was granted
+// within the retention is missing.
 func checkKept(t *rapid.T, owners []*runner, granted map[AttemptID]Instant, now, retention Instant) {
 	reader := &runner{Shard: NewShard(0, smallConfig(), func(Holder) bool { return true }), net: owners[0].net}
 	reader.Ask(now, 0, Ask{Key: KeyID{0xff}}, Forever)
@@ -61,7 +62,7 @@
 	reader.advance(now, noFault)
 	for a, at := range granted {
 		if _, ok := reader.table.Lookup(keyOf(a)); !ok && now-at < retention {
-			t.Fatalf("claim %d was forgotten %v after it was granted", a, now-at)
+			t.Fatalf("claim %d is missing from the log %v after it was granted", a, now-at)
 		}
 	}
 }
--- a/claims/core/shard.go
+++ b/claims/core/shard.go
@@ -10,30 +10,33 @@
 
 // Config holds the limits of a Shard.
 type Config struct {
-	// Interval is the shortest time between two transactions of a shard.
+	// Interval is the minimum time between two transactions of an owner.
 	Interval time.Duration
-	// Retention is how long a claim is kept; a key that comes back within it
-	// never runs again.
+	// Retention is how long a claim is kept. A request whose key is repeated within
+	// this time is not run again.
 	Retention time.Duration
-	// GrantAge is added to the retention: the longest time from an Ask, which
-	// comes before the record's clock, to the use of its grant.
+	// GrantAge is the longest time from an Ask to the use of its grant. It is added to
+	// Retention, which counts from the clock of the claim's record: that is not earlier
+	// than the Ask, but may be earlier than the use of the grant.
 	GrantAge time.Duration
-	// SyncAge is the age from which the table is read again before it is
-	// trusted to say that a claim is in progress, unknown or mismatched.
-	SyncAge time.Duration
-	// VouchAge is the age of the table up to which a refusal says that the key
-	// was not run before; with 0 the table must have been read since the
-	// request came. While the store is out, the age when it failed counts.
-	VouchAge time.Duration
-	// RunLimit is the age from which an open claim counts as unknown.
-	RunLimit time.Duration
-	// Backoff is the pause after a failed call to the store; requests that
-	// come meanwhile are refused at once.
+	// MaxStateAge is the age of the table above which the log is read again before a
+	// reply with InProgress, Unknown or Mismatch, which may change. Granted and Done
+	// are final and returned from an older table, too.
+	MaxStateAge time.Duration
+	// MaxClearAge is the age of the table up to which a refusal may set Reply.Clear.
+	// With 0 the table must have been read after the request arrived. While the store
+	// is unavailable, the age is that at its first failure.
+	MaxClearAge time.Duration
+	// MaxRunTime is the age above which an open claim is reported as Unknown.
+	MaxRunTime time.Duration
+	// Backoff is the pause after a failed call to the store. Requests that need the
+	// store during the pause are refused at once.
 	Backoff time.Duration
-	// GroupSegments and GroupBytes close a group of transactions.
+	// GroupSegments and GroupBytes are the number of segments and their total size at
+	// which the open group is closed.
 	GroupSegments int
 	GroupBytes    int
-	// MaxBatch is the most records in one transaction.
+	// MaxBatch is the maximum number of requests recorded in one transaction.
 	MaxBatch int
 }
 
@@ -43,9 +46,9 @@
 		Interval:      140 * time.Millisecond,
 		Retention:     15 * time.Minute,
 		GrantAge:      DefaultAttemptLimits().Life,
-		SyncAge:       time.Second,
-		VouchAge:      2 * time.Second,
-		RunLimit:      5 * time.Minute,
+		MaxStateAge:   time.Second,
+		MaxClearAge:   2 * time.Second,
+		MaxRunTime:    5 * time.Minute,
 		Backoff:       500 * time.Millisecond,
 		GroupSegments: 64,
 		GroupBytes:    256 << 10,
@@ -53,41 +56,41 @@
 	}
 }
 
-// Ref is the caller's reference to a request.
+// Ref is chosen by the caller of Ask and End to match the reply to its request.
 type Ref uint64
 
-// request is an Ask or an End that waits for its reply.
+// request is a queued Ask or End; exactly one of ask and end is set.
 type request struct {
 	ref     Ref
 	ask     *Ask
 	end     *End
 	arrived Instant
 	expires Instant
-	// tainted is set once a transaction with the request's record was lost
-	// without a result.
-	tainted bool
+	// mayBeRecorded is set when a transaction with the request's record failed in a
+	// way that leaves open whether it took effect.
+	mayBeRecorded bool
 }
 
-// Answered is the reply to the request with the given Ref.
-type Answered struct {
+// RefReply is the reply to the request with the Ref.
+type RefReply struct {
 	Ref   Ref
 	Reply Reply
 }
 
-// StepKind says what a Shard needs next.
+// StepKind is the kind of a Step.
 type StepKind int
 
 // The kinds of steps.
 const (
-	// StepWait: call Next again at Until, or when a request arrives.
+	// StepWait means that Next is to be called at Until, or when a request arrives.
 	StepWait StepKind = iota
-	// StepRead: List Prefix and pass the page to Loaded.
+	// StepRead means that Prefix is to be listed and the page passed to Loaded.
 	StepRead
-	// StepCommit: Commit Txn and pass the result to Committed.
+	// StepCommit means that Txn is to be committed and the result passed to Committed.
 	StepCommit
 )
 
-// Step is the next action of a Shard.
+// Step is the next action that the caller carries out for a Shard.
 type Step struct {
 	Kind   StepKind
 	Until  Instant
@@ -95,88 +98,88 @@
 	Txn    store.Txn
 }
 
-// Counts are the events of a Shard since it was made.
+// Counts counts the events of a Shard since NewShard.
 type Counts struct {
 	Commits, Conflicts, Uncertain, Failures int
 	Reads, FullReads                        int
 	Records, TrimmedGroups                  int
 }
 
-// Liveness says whether the run of a node that holds a claim still lives.
+// Liveness reports whether the node process that holds a claim may still be running.
 type Liveness func(Holder) bool
 
-// Shard decides the claims of one shard. Any node may run one at any time:
-// a transaction takes effect only if no other owner wrote since this one read
-// the log, and a claim is granted only once its record is in the log. It is
-// not safe for concurrent use.
+// Shard decides the claims of one shard as an owner of its log. Several nodes may own
+// the same shard at the same time: a transaction takes effect only if no other owner
+// wrote since this one read the log, and a claim is granted only once its record is in
+// the log. A Shard is not safe for concurrent use.
 type Shard struct {
 	cfg   Config
 	keys  layout
 	alive Liveness
 
-	table    *Table
-	head     Head
-	revision int64   // of the head in the store; 0 if there is none
-	openLog  []byte  // the segments of the open group, joined
-	segments int     // their number
-	loaded   bool    // the table holds the whole log up to head
-	stale    bool    // another owner may have written since
-	readAt   Instant // when the last read was begun
-	syncedAt Instant // the table holds all that was written before
-	// clockFrom is the local time at which the head's clock was right.
-	clockFrom Instant
-
-	onDuty bool // this node is the first to be asked
-	queue  []request
-	batch  *batch
-	next   Instant // earliest next commit
-	// yield is added to the interval after a commit, so that another owner
-	// that was met gets its turn. It is halved by each commit.
-	yield   time.Duration
-	retryAt Instant // the store is not called before
-	// failedAt is when the store failed first since it last answered, or
-	// Forever.
-	failedAt Instant
-	replies  []Answered
-
-	// Counts may be read between calls.
+	table         *Table
+	head          Head
+	revision      int64   // of the head in the store; 0 if it doesn't exist
+	openGroup     []byte  // the concatenated segments of the open group
+	segments      int     // number of segments in openGroup
+	loaded        bool    // the table holds the whole log up to head
+	stale         bool    // another owner may have written since
+	readStartedAt Instant // when the last read was started
+	syncedAt      Instant // the table holds every write from before this time
+	// clockReadAt is the local time that corresponds to head.Clock.
+	clockReadAt Instant
+
+	isPrimary  bool // this node is the primary owner of the shard
+	queue      []request
+	batch      *batch
+	nextCommit Instant // earliest time of the next commit
+	// conflictDelay is added to the interval after a commit. It is set by a conflict,
+	// so that the other owner can commit in turn, and halved by each commit.
+	conflictDelay time.Duration
+	retryAt       Instant // end of the backoff; the store is not called before
+	// failingSince is the time of the first failed call to the store after the last
+	// successful one, or Forever.
+	failingSince Instant
+	replies      []RefReply
+
+	// Counts may be read between calls to methods.
 	Counts Counts
 }
 
-// NewShard returns a shard that has read nothing yet.
+// NewShard returns a Shard that has not read its log yet.
 func NewShard(number int, cfg Config, alive Liveness) *Shard {
-	return &Shard{cfg: cfg, keys: newLayout(number), alive: alive, table: NewTable(), failedAt: Forever}
+	return &Shard{cfg: cfg, keys: newLayout(number), alive: alive, table: NewTable(), failingSince: Forever}
 }
 
-// Ask queues a request for a claim.
+// Ask queues a request for a claim. It is refused if it has no reply by expires.
 func (s *Shard) Ask(now Instant, ref Ref, a Ask, expires Instant) {
 	s.queue = append(s.queue, request{ref: ref, ask: &a, arrived: now, expires: expires})
 }
 
-// End queues the outcome of an attempt.
+// End queues the outcome of an attempt. It is refused if it has no reply by expires.
 func (s *Shard) End(now Instant, ref Ref, e End, expires Instant) {
 	s.queue = append(s.queue, request{ref: ref, end: &e, arrived: now, expires: expires})
 }
 
 // Replies returns the replies since the last call.
-func (s *Shard) Replies() []Answered {
+func (s *Shard) Replies() []RefReply {
 	out := s.replies
 	s.replies = nil
 	return out
 }
 
-// SetDuty says whether this node believes that it is the shard's owner. An
-// owner keeps its table fresh while it is idle.
-func (s *Shard) SetDuty(on bool) { s.onDuty = on }
+// SetDuty sets whether this node is the primary owner of the shard. If so, the Shard
+// keeps its table fresh while it is idle.
+func (s *Shard) SetDuty(on bool) { s.isPrimary = on }
 
-// Len returns the number of keys in the table and of requests that wait.
+// Len returns the number of keys in the table and of queued requests.
 func (s *Shard) Len() (keys, waiting int) { return s.table.Len(), len(s.queue) }
 
-// Next returns the next step. A read or a commit must be answered by Loaded
-// or Committed before Next is called again.
+// Next returns the next step. After a StepRead or a StepCommit, Loaded or Committed
+// must be called before Next is called again.
 func (s *Shard) Next(now Instant) Step {
 	s.Expire(now)
-	s.answerKnown(now)
+	s.replyFromTable(now)
 	switch {
 	case len(s.queue) == 0:
 		return s.idle(now)
@@ -185,19 +188,19 @@
 		return s.idle(now)
 	case !s.loaded:
 		return s.read(now, s.keys.all)
-	case s.stale || s.mustSync(now):
+	case s.stale || s.needsRead(now):
 		return s.read(now, s.keys.open)
-	case now < s.next:
-		return Step{Kind: StepWait, Until: min(s.next, s.NextExpiry())}
+	case now < s.nextCommit:
+		return Step{Kind: StepWait, Until: min(s.nextCommit, s.NextExpiry())}
 	}
 	return s.commit(now)
 }
 
-// idle returns the step of a shard that no request waits for.
+// idle returns the next step when the queue is empty.
 func (s *Shard) idle(now Instant) Step {
-	due := max(s.retryAt, s.syncedAt+s.cfg.VouchAge/2)
+	due := max(s.retryAt, s.syncedAt+s.cfg.MaxClearAge/2)
 	switch {
-	case !s.onDuty || s.cfg.VouchAge == 0:
+	case !s.isPrimary || s.cfg.MaxClearAge == 0:
 		return Step{Kind: StepWait, Until: Forever}
 	case now < due:
 		return Step{Kind: StepWait, Until: due}
@@ -208,50 +211,51 @@
 }
 
 func (s *Shard) read(now Instant, prefix string) Step {
-	s.readAt = now
+	s.readStartedAt = now
 	return Step{Kind: StepRead, Prefix: prefix}
 }
 
-// Committed reports the result of the last commit.
+// Committed handles the result of a StepCommit: the revision of the transaction, and
+// whether its comparison held (ok).
 func (s *Shard) Committed(now Instant, revision int64, ok bool, err error) {
 	b := s.batch
 	s.batch = nil
 	s.Counts.Commits++
 	switch {
 	case errors.Is(err, store.ErrUnavailable):
-		s.fail(now)
-	case err != nil: // the write may have taken effect: read back
+		s.handleStoreFailure(now)
+	case err != nil: // the write may have taken effect: read the log
 		s.Counts.Uncertain++
-		s.taint(b)
+		s.markMayBeRecorded(b)
 		s.stale = true
 	case !ok:
 		s.Counts.Conflicts++
 		s.stale = true
-		s.yield = s.cfg.Interval
+		s.conflictDelay = s.cfg.Interval
 	default:
-		s.adopt(b, revision)
-		s.next += s.yield
-		s.yield /= 2
+		s.applyCommitted(b, revision)
+		s.nextCommit += s.conflictDelay
+		s.conflictDelay /= 2
 		return
 	}
-	s.next = now // another owner wrote, or nobody: nothing is gained by waiting
+	s.nextCommit = now // no write of this owner is known to have taken effect: no need to wait
 }
 
-// adopt applies a batch that is in the log.
-func (s *Shard) adopt(b *batch, revision int64) {
+// applyCommitted applies a committed batch to the table and replies to its requests.
+func (s *Shard) applyCommitted(b *batch, revision int64) {
 	s.head = b.head
 	s.revision = revision
 	s.syncedAt = b.sent
-	s.failedAt = Forever
-	s.clockFrom = b.sent
+	s.failingSince = Forever
+	s.clockReadAt = b.sent
 	s.apply(b.group, b.records)
 	s.Counts.Records += len(b.records)
 	s.Counts.TrimmedGroups += b.trimmed
 	s.table.Trim(s.head.Oldest)
-	s.openLog, s.segments = b.openLog, b.segments
+	s.openGroup, s.segments = b.openGroup, b.segments
 	kept := s.queue[:0]
 	for _, r := range s.queue {
-		if !b.has(r.ref) {
+		if !b.contains(r.ref) {
 			kept = append(kept, r)
 			continue
 		}
@@ -266,35 +270,35 @@
 	}
 }
 
-// taint marks the requests of a batch whose result was lost.
-func (s *Shard) taint(b *batch) {
+// markMayBeRecorded marks the queued requests of a batch whose result was lost.
+func (s *Shard) markMayBeRecorded(b *batch) {
 	for i := range s.queue {
-		if b.has(s.queue[i].ref) {
-			s.queue[i].tainted = true
+		if b.contains(s.queue[i].ref) {
+			s.queue[i].mayBeRecorded = true
 		}
 	}
 }
 
-// fail refuses what waits, and what comes before the pause has passed. What
-// the table knows is still answered.
-func (s *Shard) fail(now Instant) {
+// handleStoreFailure starts the backoff and refuses the queued requests, except those
+// that can be answered from the table.
+func (s *Shard) handleStoreFailure(now Instant) {
 	s.Counts.Failures++
 	s.retryAt = now + s.cfg.Backoff
-	s.failedAt = min(s.failedAt, now)
-	s.answerKnown(now)
+	s.failingSince = min(s.failingSince, now)
+	s.replyFromTable(now)
 	s.refuseAll(now)
 }
 
 func (s *Shard) refuseAll(now Instant) {
 	for _, r := range s.queue {
-		s.reply(r, Reply{Status: Unavailable, Clear: s.clear(now, r)})
+		s.reply(r, Reply{Status: Unavailable, Clear: s.noEarlierRun(now, r)})
 	}
 	s.queue = s.queue[:0]
 }
 
-// Expire refuses the requests whose time is over. Unlike Next it may be called
-// while a read or a commit has no result yet; a request whose record is in that
-// commit may then be in the log.
+// Expire refuses the queued requests that have expired. Unlike Next it may be called
+// while a read or a commit has no result yet. The refusal of a request whose record is
+// part of that commit has MayBeRecorded set.
 func (s *Shard) Expire(now Instant) {
 	kept := s.queue[:0]
 	for _, r := range s.queue {
@@ -302,13 +306,13 @@
 			kept = append(kept, r)
 			continue
 		}
-		r.tainted = r.tainted || s.batch != nil && s.batch.has(r.ref)
-		s.reply(r, Reply{Status: Expired, Clear: s.clear(now, r)})
+		r.mayBeRecorded = r.mayBeRecorded || s.batch != nil && s.batch.contains(r.ref)
+		s.reply(r, Reply{Status: Expired, Clear: s.noEarlierRun(now, r)})
 	}
 	s.queue = kept
 }
 
-// NextExpiry is the time at which Expire has something to do.
+// NextExpiry returns the earliest expiry time of a queued request, or Forever.
 func (s *Shard) NextExpiry() Instant {
 	at := Forever
 	for _, r := range s.queue {
@@ -319,6 +323,6 @@
 
 func (s *Shard) reply(r request, p Reply) {
 	granted := p.Status == Decided && p.State == Granted
-	p.Tainted = r.tainted && !granted
-	s.replies = append(s.replies, Answered{r.ref, p})
+	p.MayBeRecorded = r.mayBeRecorded && !granted
+	s.replies = append(s.replies, RefReply{r.ref, p})
 }
--- a/claims/core/shard_test.go
+++ b/claims/core/shard_test.go
@@ -12,19 +12,19 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// fault is what befalls one call to the store.
+// fault is a fault of one call to the store.
 type fault int
 
 const (
 	noFault     fault = iota
-	refused           // no effect, and said so
-	lostBefore        // no effect, no answer
-	lostAfter         // effect, no answer
-	lostDelayed       // no answer; the effect may come at any later time
-	faults
+	refused           // no effect, reported as store.ErrUnavailable
+	lostBefore        // no effect, reported as store.ErrUncertain
+	lostAfter         // takes effect, reported as store.ErrUncertain
+	lostDelayed       // reported as store.ErrUncertain; may take effect at any later time
+	faultCount
 )
 
-// network passes the calls of several owners to one store, with faults.
+// network forwards the calls of several owners to one store and injects faults.
 type network struct {
 	store   *memory.Store
 	delayed []store.Txn
@@ -47,16 +47,16 @@
 	}
 }
 
-func (n *network) land(i int) {
+func (n *network) applyDelayed(i int) {
 	_, _, _ = n.store.Commit(context.Background(), n.delayed[i])
 	n.delayed = append(n.delayed[:i], n.delayed[i+1:]...)
 }
 
-// runner takes the steps of one owner.
+// runner runs the steps of one owner.
 type runner struct {
 	*Shard
 	net *network
-	// step is a read or a commit whose result has not come yet.
+	// step is a started read or commit whose result was not passed on yet; else nil.
 	step *Step
 }
 
@@ -83,16 +83,16 @@
 	r.Loaded(now, page, err)
 }
 
-// referee knows which attempt may run each key.
-type referee struct {
-	holder map[KeyID]AttemptID // granted and not ended as not run
+// grantChecker fails the test if a key is granted to a second attempt.
+type grantChecker struct {
+	holder map[KeyID]AttemptID // attempts that were granted the key and did not end with NotRun
 }
 
-func (g *referee) granted(t *rapid.T, a Ask) {
-	if h, ok := g.holder[a.Key]; ok && h != a.Attempt {
+func (c *grantChecker) granted(t *rapid.T, a Ask) {
+	if h, ok := c.holder[a.Key]; ok && h != a.Attempt {
 		t.Fatalf("key %x granted to attempt %d while attempt %d holds it", a.Key[:1], a.Attempt, h)
 	}
-	g.holder[a.Key] = a.Attempt
+	c.holder[a.Key] = a.Attempt
 }
 
 const testKeys, testOwners = 3, 3
@@ -103,9 +103,10 @@
 	return c
 }
 
-// TestOneAttemptHoldsAKey checks, for owners that all believe in their duty,
-// that a key is never granted to a second attempt unless the first ended
-// without running, whatever the store does to the calls.
+// TestOneAttemptHoldsAKey guards against running a request twice. Several nodes act as
+// owners of the same shard at the same time, and calls to the store fail, take effect
+// without a result, or take effect late. A key must not be granted to a second attempt
+// unless the first ended with NotRun.
 func TestOneAttemptHoldsAKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now Instant
@@ -114,13 +115,13 @@
 		for i := range owners {
 			owners[i] = &runner{Shard: NewShard(0, smallConfig(), func(Holder) bool { return true }), net: net}
 		}
-		ref := &referee{holder: make(map[KeyID]AttemptID)}
+		checker := &grantChecker{holder: make(map[KeyID]AttemptID)}
 		var asks []Ask
 		owner := func() *runner { return owners[rapid.IntRange(0, testOwners-1).Draw(t, "owner")] }
 		collect := func(r *runner) {
 			for _, p := range r.Replies() {
 				if int(p.Ref) < len(asks) && p.Reply.Status == Decided && p.Reply.State == Granted {
-					ref.granted(t, asks[p.Ref])
+					checker.granted(t, asks[p.Ref])
 				}
 			}
 		}
@@ -133,7 +134,7 @@
 				asks = append(asks, a)
 				owner().Ask(now, Ref(len(asks)-1), a, now+time.Second)
 			},
-			"ask again elsewhere": func(t *rapid.T) {
+			"ask again at any owner": func(t *rapid.T) {
 				if len(asks) == 0 {
 					t.Skip("no ask yet")
 				}
@@ -143,32 +144,32 @@
 			},
 			"end": func(t *rapid.T) {
 				k := KeyID{byte(rapid.IntRange(1, testKeys).Draw(t, "key"))}
-				a, ok := ref.holder[k]
+				a, ok := checker.holder[k]
 				if !ok {
 					t.Skip("not held")
 				}
 				o := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
 				if o == NotRun {
-					delete(ref.holder, k)
-					asks = dropAttempt(asks, a) // it never uses a grant again
+					delete(checker.holder, k)
+					asks = dropAttempt(asks, a) // it doesn't use a later grant
 				}
 				owner().End(now, Ref(1<<32), End{Key: k, Attempt: a, Outcome: o}, now+time.Second)
 			},
 			"step": func(t *rapid.T) {
 				r := owner()
-				r.advance(now, fault(rapid.IntRange(0, int(faults)-1).Draw(t, "fault")))
+				r.advance(now, fault(rapid.IntRange(0, int(faultCount)-1).Draw(t, "fault")))
 				collect(r)
 			},
-			"step well": func(t *rapid.T) {
+			"step without fault": func(t *rapid.T) {
 				r := owner()
 				r.advance(now, noFault)
 				collect(r)
 			},
-			"land": func(t *rapid.T) {
+			"apply delayed": func(t *rapid.T) {
 				if len(net.delayed) == 0 {
 					t.Skip("nothing delayed")
 				}
-				net.land(rapid.IntRange(0, len(net.delayed)-1).Draw(t, "txn"))
+				net.applyDelayed(rapid.IntRange(0, len(net.delayed)-1).Draw(t, "txn"))
 			},
 			"time": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond
@@ -180,8 +181,8 @@
 	})
 }
 
-// dropAttempt makes the asks of an attempt harmless in place, so that the
-// references of the others stay.
+// dropAttempt replaces the asks of an attempt by ones that are never granted a test key.
+// The slice keeps its length, so that the Refs of the other asks stay valid.
 func dropAttempt(asks []Ask, a AttemptID) []Ask {
 	for i := range asks {
 		if asks[i].Attempt == a {
@@ -191,16 +192,17 @@
 	return asks
 }
 
-// held returns the entries that keep others from a key. A free one means the
-// same as none: the end of an attempt may outlive its trimmed claim.
+// held returns the entries whose phase is not Free. A Free entry is equivalent to none,
+// and may differ between tables: the End of an attempt may be in a later group than its
+// claim and remain in the log after the claim is trimmed.
 func held(t *Table) map[KeyID]Entry {
 	out := maps.Clone(t.entries)
 	maps.DeleteFunc(out, func(_ KeyID, e Entry) bool { return e.Phase == Free })
 	return out
 }
 
-// TestOwnersReadTheSameTable checks that an owner that follows the log step
-// by step and one that reads it whole know the same.
+// TestOwnersReadTheSameTable checks that an owner that applied its own transactions one by
+// one and an owner that reads the whole log have the same head and the same held keys.
 func TestOwnersReadTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now Instant
--- a/claims/core/table.go
+++ b/claims/core/table.go
@@ -1,13 +1,14 @@
 package core
 
-// Phase is how far the attempt that holds a key has come.
+// Phase is the progress of the attempt that last claimed a key.
 type Phase uint8
 
 // The phases of an entry.
 const (
-	// Open means that the attempt has the claim and has not ended.
+	// Open means that the attempt holds the claim and its outcome is not recorded.
 	Open Phase = iota
-	// Free means that the attempt ended without running the request.
+	// Free means that the attempt ended without running the request, so that the key
+	// can be claimed again.
 	Free
 	// HasRun means that a target ran the request.
 	HasRun
@@ -15,25 +16,25 @@
 	MayHaveRun
 )
 
-// Entry is what the log says of a key.
+// Entry is the state of a key according to the log.
 type Entry struct {
 	Attempt     AttemptID
 	Fingerprint Fingerprint
 	Holder      Holder
 	Phase       Phase
 	Clock       uint64 // the shard's clock at the claim, in milliseconds
-	Group       uint64 // the group of the claim
+	Group       uint64 // the group that holds the claim's record
 }
 
-// group lists the keys claimed in a group of transactions.
+// group holds the time span of a group of transactions and the keys claimed in it.
 type group struct {
 	id    uint64
-	first uint64 // the shard's clock at its first transaction
-	last  uint64 // the shard's clock at its last transaction
+	first uint64 // the shard's clock at the first transaction
+	last  uint64 // the shard's clock at the last transaction
 	keys  []KeyID
 }
 
-// Table is the state of a shard: its log, applied in order.
+// Table is the state of a shard, built by applying the records of its log in order.
 type Table struct {
 	entries map[KeyID]Entry
 	groups  []group // oldest first
@@ -52,53 +53,55 @@
 	return e, ok
 }
 
-// Apply adds a record of the given group. Groups must not decrease.
+// Apply applies a record of the group g. Calls must not have decreasing g.
 func (t *Table) Apply(g uint64, r Record) {
 	switch r.Kind {
 	case KindClock:
-		t.tick(g, r.Clock)
+		t.setClock(g, r.Clock)
 	case KindClaim:
-		t.put(g, r.Key, Entry{Attempt: r.Attempt, Fingerprint: r.Fingerprint, Holder: r.Holder})
+		t.addClaim(g, r.Key, Entry{Attempt: r.Attempt, Fingerprint: r.Fingerprint, Holder: r.Holder})
 	case KindEnd:
-		t.end(g, r)
+		t.applyEnd(g, r)
 	}
 }
 
-func (t *Table) tick(id, clock uint64) {
+func (t *Table) setClock(id, clock uint64) {
 	t.clock = clock
-	t.newest(id).last = clock
+	t.currentGroup(id).last = clock
 }
 
-// newest returns the group id, which it adds if it is new.
-func (t *Table) newest(id uint64) *group {
+// currentGroup returns the newest group if it has the given id, else it adds a group
+// with that id.
+func (t *Table) currentGroup(id uint64) *group {
 	if n := len(t.groups); n == 0 || t.groups[n-1].id != id {
 		t.groups = append(t.groups, group{id: id, first: t.clock})
 	}
 	return &t.groups[len(t.groups)-1]
 }
 
-func (t *Table) put(id uint64, k KeyID, e Entry) {
+func (t *Table) addClaim(id uint64, k KeyID, e Entry) {
 	e.Clock = t.clock
 	e.Group = id
 	t.entries[k] = e
-	g := t.newest(id)
+	g := t.currentGroup(id)
 	g.keys = append(g.keys, k)
 }
 
-// end closes the attempt's claim. An attempt that never had one leaves a
-// closed entry, so that its delayed request for the claim comes to nothing.
-func (t *Table) end(id uint64, r Record) {
+// applyEnd applies the outcome of an attempt to its open claim. An attempt that was not
+// run and has no claim gets an entry with the phase Free, so that its Ask, if it arrives
+// late, is not granted.
+func (t *Table) applyEnd(id uint64, r Record) {
 	e, ok := t.entries[r.Key]
 	switch {
 	case !ok && r.Outcome == NotRun:
-		t.put(id, r.Key, Entry{Attempt: r.Attempt, Phase: Free})
+		t.addClaim(id, r.Key, Entry{Attempt: r.Attempt, Phase: Free})
 	case ok && e.Attempt == r.Attempt && e.Phase == Open:
-		e.Phase = phaseAfter(r.Outcome)
+		e.Phase = phaseOf(r.Outcome)
 		t.entries[r.Key] = e
 	}
 }
 
-func phaseAfter(o Outcome) Phase {
+func phaseOf(o Outcome) Phase {
 	switch o {
 	case NotRun:
 		return Free
@@ -109,7 +112,8 @@
 	}
 }
 
-// Trim forgets the keys claimed in groups before oldest.
+// Trim removes the groups before oldest and the keys claimed in them, except keys that
+// were claimed again since.
 func (t *Table) Trim(oldest uint64) {
 	for len(t.groups) > 0 && t.groups[0].id < oldest {
 		for _, k := range t.groups[0].keys {
@@ -121,9 +125,10 @@
 	}
 }
 
-// Expired returns the first group to keep if those that ended before clock
-// are dropped, at most limit of them. The open group is always kept.
-func (t *Table) Expired(open, clock uint64, limit int) (oldest uint64, ok bool) {
+// OldestToKeep returns the oldest group that remains if the groups whose last
+// transaction is before clock are dropped, at most limit of them. The open group is
+// always kept. ok is false if no group is to be dropped.
+func (t *Table) OldestToKeep(open, clock uint64, limit int) (oldest uint64, ok bool) {
 	for _, g := range t.groups {
 		if g.id >= open || g.last >= clock || limit == 0 {
 			break
@@ -134,41 +139,41 @@
 	return oldest, ok
 }
 
-// decision is what an Ask meets in the table.
+// decision is the result of checking an Ask against the table.
 type decision int
 
 const (
-	decideClaim  decision = iota // the key is free: record a claim
-	decideState                  // the reply's State says it
-	decideClosed                 // the attempt has ended
+	decideClaim decision = iota // the key can be claimed: a claim must be recorded
+	decideReply                 // the reply is the returned State
+	decideEnded                 // the attempt has ended without running
 )
 
-// decide compares an Ask with the entry of its key. An entry that is not
-// free is given to nobody but the attempt that made it.
+// decide checks an Ask against the entry of its key; ok is false if there is none. A
+// key whose phase is not Free is granted only to the attempt that holds it.
 func decide(e Entry, ok bool, a Ask) (decision, State) {
 	switch {
 	case !ok:
 		return decideClaim, 0
 	case e.Phase == Free && e.Attempt == a.Attempt:
-		return decideClosed, 0
+		return decideEnded, 0
 	case e.Phase == Free:
 		return decideClaim, 0
 	case e.Fingerprint != a.Fingerprint:
-		return decideState, Mismatch
+		return decideReply, Mismatch
 	case e.Phase == Open && e.Attempt == a.Attempt:
-		return decideState, Granted
+		return decideReply, Granted
 	case e.Phase == Open:
-		return decideState, InProgress
+		return decideReply, InProgress
 	case e.Phase == HasRun:
-		return decideState, Done
+		return decideReply, Done
 	default:
-		return decideState, Unknown
+		return decideReply, Unknown
 	}
 }
 
-// started returns the clock of a group's first transaction, or now if it has
-// none.
-func (t *Table) started(id, now uint64) uint64 {
+// groupStart returns the shard's clock at the first transaction of the group id, or now
+// if that is not the newest group.
+func (t *Table) groupStart(id, now uint64) uint64 {
 	if n := len(t.groups); n > 0 && t.groups[n-1].id == id {
 		return t.groups[n-1].first
 	}
--- a/claims/core/table_test.go
+++ b/claims/core/table_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDecide(t *testing.T) {
-	const mine, other AttemptID = 1, 2
+	const own, other AttemptID = 1, 2
 	same, changed := Fingerprint{1}, Fingerprint{2}
 	entry := func(a AttemptID, p Phase) *Entry { return &Entry{Attempt: a, Fingerprint: same, Phase: p} }
 	for _, tc := range []struct {
@@ -18,17 +18,17 @@
 		state       State
 	}{
 		{"a new key", nil, same, decideClaim, 0},
-		{"a key that another attempt freed", entry(other, Free), same, decideClaim, 0},
-		{"a freed key, for another request", entry(other, Free), changed, decideClaim, 0},
-		{"an attempt that was ended before it asked", entry(mine, Free), same, decideClosed, 0},
-		{"an attempt that asks again", entry(mine, Open), same, decideState, Granted},
-		{"a key in progress", entry(other, Open), same, decideState, InProgress},
-		{"a key in progress, for another request", entry(other, Open), changed, decideState, Mismatch},
-		{"a key that was run", entry(other, HasRun), same, decideState, Done},
-		{"a key that was run, for another request", entry(other, HasRun), changed, decideState, Mismatch},
-		{"a key that this attempt ran", entry(mine, HasRun), same, decideState, Done},
-		{"a key that may have been run", entry(other, MayHaveRun), same, decideState, Unknown},
-		{"a key that this attempt may have run", entry(mine, MayHaveRun), same, decideState, Unknown},
+		{"a key whose last attempt was not run", entry(other, Free), same, decideClaim, 0},
+		{"a key whose last attempt was not run, for another request", entry(other, Free), changed, decideClaim, 0},
+		{"an attempt that ended before its Ask arrived", entry(own, Free), same, decideEnded, 0},
+		{"an attempt that asks again", entry(own, Open), same, decideReply, Granted},
+		{"a key in progress", entry(other, Open), same, decideReply, InProgress},
+		{"a key in progress, for another request", entry(other, Open), changed, decideReply, Mismatch},
+		{"a key that was run", entry(other, HasRun), same, decideReply, Done},
+		{"a key that was run, for another request", entry(other, HasRun), changed, decideReply, Mismatch},
+		{"a key that this attempt ran", entry(own, HasRun), same, decideReply, Done},
+		{"a key that may have been run", entry(other, MayHaveRun), same, decideReply, Unknown},
+		{"a key that this attempt may have run", entry(own, MayHaveRun), same, decideReply, Unknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -36,7 +36,7 @@
 			if tc.entry != nil {
 				e = *tc.entry
 			}
-			d, state := decide(e, tc.entry != nil, Ask{Attempt: mine, Fingerprint: tc.fingerprint})
+			d, state := decide(e, tc.entry != nil, Ask{Attempt: own, Fingerprint: tc.fingerprint})
 			is.Equal(d, tc.want)
 			is.Equal(state, tc.state)
 		})
@@ -59,7 +59,7 @@
 		{"lost", []Record{claim(1), end(1, Lost)}, 1, MayHaveRun},
 		{"another attempt's end is ignored", []Record{claim(1), end(2, NotRun)}, 1, Open},
 		{"a second end is ignored", []Record{claim(1), end(1, Ran), end(1, NotRun)}, 1, HasRun},
-		{"freed and claimed again", []Record{claim(1), end(1, NotRun), claim(2)}, 2, Open},
+		{"not run and claimed again", []Record{claim(1), end(1, NotRun), claim(2)}, 2, Open},
 		{"a late end after that is ignored", []Record{claim(1), end(1, NotRun), claim(2), end(1, NotRun)}, 2, Open},
 		{"ended before it was claimed", []Record{end(1, NotRun)}, 1, Free},
 	} {
@@ -88,12 +88,12 @@
 	table.Apply(1, Record{Kind: KindClaim, Key: KeyID{1}, Attempt: 3})
 	table.Apply(2, Record{Kind: KindClock, Clock: 30})
 
-	_, ok := table.Expired(2, 10, 4)
-	is.True(!ok) // a group that ended at the limit is kept
-	oldest, ok := table.Expired(2, 100, 1)
+	_, ok := table.OldestToKeep(2, 10, 4)
+	is.True(!ok) // a group whose last transaction is at the given clock is kept
+	oldest, ok := table.OldestToKeep(2, 100, 1)
 	is.True(ok)
-	is.Equal(oldest, uint64(1)) // no more than the limit at a time
-	oldest, _ = table.Expired(2, 100, 4)
+	is.Equal(oldest, uint64(1)) // at most limit groups at a time
+	oldest, _ = table.OldestToKeep(2, 100, 4)
 	is.Equal(oldest, uint64(2)) // the open group is kept
 
 	table.Trim(1)
--- a/claims/core/types.go
+++ b/claims/core/types.go
@@ -1,8 +1,15 @@
-// Package core holds the decisions of the claims service. It is pure: events
-// and the clock are passed in, and the actions to take are returned. There
-// are three state machines: Shard decides the claims of one shard over the
-// store's log, Attempt follows one request at the node that received it, and
-// Ends keeps outcomes until they are recorded.
+// Package core implements the state machines of the claims service without I/O:
+// callers pass in events and the current time, and carry out the returned actions.
+// Shard decides the claims of one shard from a log in the store, Attempt tracks one
+// request at the node that received it, and Ends queues the outcomes of attempts
+// until the shard's owner has recorded them.
+//
+// A claim is the exclusive right of one attempt to run the request with a given
+// Idempotency-Key. The keys are spread over shards by hash; each shard has a log in
+// the store. An owner is a node that writes this log. Normally this is only the primary
+// owner, the node that ranks first for the shard, but several nodes may act as owner of
+// a shard at once: the revision of the log's head in the store detects their
+// conflicting writes.
 package core
 
 import (
@@ -14,17 +21,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Shards is the number of logs the keys are spread over. All nodes must agree
-// on it: changing it hides the records made before.
+// Shards is the number of shards, each with its own log. It must be the same on all
+// nodes; changing it makes earlier records unreachable.
 const Shards = 20
 
-// Instant is a monotonic time since the start of the process.
+// Instant is a monotonic time, measured from the start of the process.
 type Instant = time.Duration
 
-// Forever is an Instant that never comes.
+// Forever is the Instant that stands for no deadline.
 const Forever Instant = 1<<63 - 1
 
-// KeyID is a digest of the team, the workspace and the Idempotency-Key.
+// KeyID is a digest of the team, the workspace and the Idempotency-Key of a request.
 type KeyID [16]byte
 
 // MarshalText implements encoding.TextMarshaler.
@@ -33,7 +40,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (k *KeyID) UnmarshalText(text []byte) error { return decodeText(k[:], text) }
 
-// Fingerprint is a digest of the request that a key was used for.
+// Fingerprint is a digest of a request; it detects a key reused for another request.
 type Fingerprint [16]byte
 
 // MarshalText implements encoding.TextMarshaler.
@@ -53,11 +60,11 @@
 	return nil
 }
 
-// AttemptID is the random identity of one try to run a request.
+// AttemptID is the random ID of one attempt to run a request.
 type AttemptID uint64
 
-// NewKeyID returns the digest of a key. The parts are length-prefixed, so
-// that no two keys are joined to the same text.
+// NewKeyID returns the digest of a key. Each part is prefixed with its length, so
+// that different keys can't have the same input to the digest.
 func NewKeyID(team, workspace, key string) KeyID {
 	h := sha256.New()
 	for _, part := range []string{team, workspace, key} {
@@ -69,10 +76,11 @@
 	return KeyID(h.Sum(nil)[:len(KeyID{})])
 }
 
-// Shard returns the number of the shard that records the key.
+// Shard returns the number of the shard whose log records claims of the key.
 func (k KeyID) Shard() int { return int(binary.BigEndian.Uint64(k[:8]) % Shards) }
 
-// Holder is one run of a node's process.
+// Holder identifies the node process that holds a claim. Incarnation increases with
+// each start of the node.
 type Holder struct {
 	_           struct{} `cbor:",toarray"`
 	Node        string   `json:"node"`
@@ -84,32 +92,34 @@
 
 // The outcomes of an attempt.
 const (
-	// NotRun means that no target ran the request; the key is free again.
+	// NotRun means that no target ran the request; the key can be claimed again.
 	NotRun Outcome = iota
-	// Ran means that a target ran the request and answered.
+	// Ran means that a target ran the request and returned an answer.
 	Ran
 	// Lost means that a target may have run the request.
 	Lost
 )
 
-// State is what is recorded of a claim.
+// State is the recorded state of a claim, as seen by the attempt that asked for it.
 type State int
 
 // The states of a claim.
 const (
-	// Granted means that this attempt, and no other, may run the request.
+	// Granted means that this attempt holds the claim: it, and no other, may run the
+	// request.
 	Granted State = iota
 	// InProgress means that another attempt holds the claim.
 	InProgress
-	// Done means that the request was run; the answer may still be held.
+	// Done means that the request was run; the answer may still be kept by a node.
 	Done
-	// Unknown means that an earlier attempt may have run the request.
+	// Unknown means that an earlier attempt may have run the request; it is not
+	// run again.
 	Unknown
 	// Mismatch means that the key was used for another request.
 	Mismatch
 )
 
-// Ask is an attempt's request for a claim.
+// Ask is the request of an attempt for a claim.
 type Ask struct {
 	Key         KeyID       `json:"key"`
 	Fingerprint Fingerprint `json:"fingerprint"`
@@ -117,40 +127,40 @@
 	Holder      Holder      `json:"holder"`
 }
 
-// End is the outcome of an attempt.
+// End is the outcome of one attempt, to be recorded in the log.
 type End struct {
 	Key     KeyID     `json:"key"`
 	Attempt AttemptID `json:"attempt"`
 	Outcome Outcome   `json:"outcome"`
 }
 
-// Status is the kind of a Reply.
+// Status says whether a Reply carries a result, or why it has none.
 type Status int
 
 // The statuses of a Reply.
 const (
-	// Decided means that the claim's state is known.
+	// Decided means that Reply.State is set.
 	Decided Status = iota
-	// Recorded means that an End is kept.
+	// Recorded means that the End is in the log.
 	Recorded
-	// Closed means that the attempt was ended before it asked.
-	Closed
-	// Unavailable means that the store doesn't answer.
+	// AttemptEnded means that the attempt's End was recorded before its Ask was handled.
+	AttemptEnded
+	// Unavailable means that a call to the store failed.
 	Unavailable
-	// Expired means that the request waited beyond its time.
+	// Expired means that the Ask or End was not handled before its expiry time.
 	Expired
 )
 
-// Reply answers an Ask or an End.
+// Reply is the response to an Ask or an End.
 type Reply struct {
 	Status Status `json:"status,omitempty"`
 	State  State  `json:"state,omitempty"`
-	// Holder ran the request if State is Done.
+	// Holder is the process that ran the request; set if State is Done.
 	Holder Holder `json:"holder,omitzero"`
-	// Tainted means that a record of the attempt may be in the store though
+	// MayBeRecorded means that a record of the attempt may be in the store although
 	// the claim was not granted; the attempt must be ended.
-	Tainted bool `json:"tainted,omitempty"`
-	// Clear means, of a reply that decides nothing, that no attempt with the
-	// key can have run the request when this one asked.
+	MayBeRecorded bool `json:"tainted,omitempty"`
+	// Clear means, in a reply whose Status is not Decided, that no earlier attempt
+	// with the key can have run the request by the time of this Ask.
 	Clear bool `json:"clear,omitempty"`
 }
--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -270,8 +270,8 @@
 func quick() Settings {
 	s := DefaultSettings()
 	s.Shard.Interval = time.Millisecond
-	s.Shard.SyncAge = 0
-	s.Shard.VouchAge = time.Hour
+	s.Shard.MaxStateAge = 0
+	s.Shard.MaxClearAge = time.Hour
 	s.Shard.Backoff = time.Millisecond
 	s.Attempt.Life = time.Minute
 	s.Ends.MinBackoff = time.Millisecond
