--- a/claims/answers.go
+++ b/claims/answers.go
@@ -8,157 +8,160 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// AnswerLimits bounds the answers that a node keeps.
+// AnswerLimits limits the answers that a node keeps in memory.
 type AnswerLimits struct {
-	// EntryBytes is the largest answer kept.
+	// EntryBytes is the maximum size of the body of a kept answer.
 	EntryBytes int
-	// TotalBytes bounds all answers; those with the least time left go first.
+	// TotalBytes is the maximum memory of all kept answers. Above it, the answers that
+	// expire first are evicted.
 	TotalBytes int
-	// InheritedBytes bounds those inherited of nodes that stopped, so that the
-	// rest of TotalBytes is left to the node's own.
+	// InheritedBytes is the maximum memory of the answers inherited from nodes that
+	// stopped, so that the rest of TotalBytes is left for the node's own answers.
 	InheritedBytes int
 }
 
-// entryOverhead is the memory of an answer besides its body, in bytes.
+// entryOverhead is the memory that a kept answer takes besides its body, in bytes.
 const entryOverhead = 256
 
+// heldAnswer is an answer in memory with its key and expiry time.
 type heldAnswer struct {
 	key         core.KeyID
 	fingerprint Fingerprint
 	answer      *Answer
-	// until is when the answer need not be kept any longer.
-	until core.Instant
+	// expiresAt is the time from which the answer is no longer returned.
+	expiresAt core.Instant
 }
 
 func (h heldAnswer) size() int { return entryOverhead + len(h.answer.Body) }
 
-// intake is what became of an answer that was to be kept.
-type intake string
+// putResult is the result of adding an answer.
+type putResult string
 
-// The intakes, which are metric labels.
+// The results of adding an answer. They are metric label values.
 const (
-	intakeKept      intake = "kept"
-	intakeDuplicate intake = "duplicate"
-	intakeExpired   intake = "expired"
-	intakeTooLarge  intake = "too_large"
+	putKept      putResult = "kept"
+	putDuplicate putResult = "duplicate"
+	putExpired   putResult = "expired"
+	putTooLarge  putResult = "too_large"
 )
 
-// answers keeps the answers of requests that this node ran, or inherited.
+// answers keeps in memory the answers of requests that this node sent to a target, and
+// those that it inherited from nodes that stopped.
 type answers struct {
-	limits AnswerLimits
-	keep   time.Duration
-	// evicted is called for each answer that goes before its time.
-	evicted func(origin string)
+	limits    AnswerLimits
+	retention time.Duration
+	// onEvict is called for each answer that is removed before it expires.
+	onEvict func(origin string)
 
 	mu             sync.Mutex
-	closed         bool // nothing more is inherited
-	held           map[core.KeyID]heldAnswer
+	closed         bool // no more answers are inherited
+	byKey          map[core.KeyID]heldAnswer
 	own, inherited answerQueue
 }
 
-// The origins of answers, as metric labels.
+// The origins of answers. They are metric label values.
 const (
 	originOwn       = "own"
 	originInherited = "inherited"
 )
 
-// newAnswers returns a store that keeps each answer for the given time.
-func newAnswers(l AnswerLimits, keep time.Duration, evicted func(origin string)) *answers {
-	return &answers{limits: l, keep: keep, evicted: evicted, held: make(map[core.KeyID]heldAnswer)}
+// newAnswers returns an empty answers. It keeps each answer for the given retention.
+func newAnswers(l AnswerLimits, retention time.Duration, onEvict func(origin string)) *answers {
+	return &answers{limits: l, retention: retention, onEvict: onEvict, byKey: make(map[core.KeyID]heldAnswer)}
 }
 
-// put keeps the answer of a request that this node ran.
-func (a *answers) put(now core.Instant, k core.KeyID, f Fingerprint, ans *Answer) intake {
+// put adds the answer of a request that this node sent to a target.
+func (a *answers) put(now core.Instant, k core.KeyID, f Fingerprint, ans *Answer) putResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.add(now, &a.own, heldAnswer{k, f, ans, now + a.keep})
+	return a.add(now, &a.own, heldAnswer{k, f, ans, now + a.retention})
 }
 
-// inherit keeps answers of a node that stops, and returns what became of
-// each; ok is false if this node stops too, and keeps none.
-func (a *answers) inherit(now core.Instant, handed []handedAnswer) (became []intake, ok bool) {
+// inherit adds answers of a node that stops, and returns the result for each; ok is false
+// if close was called: this node stops, too, and keeps none of them.
+func (a *answers) inherit(now core.Instant, handed []handedOverAnswer) (results []putResult, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
 		return nil, false
 	}
 	for _, h := range handed {
-		until := now + min(h.keep(), a.keep)
-		became = append(became, a.add(now, &a.inherited, heldAnswer{h.Key, h.Fingerprint, h.Answer, until}))
+		until := now + min(h.keep(), a.retention)
+		results = append(results, a.add(now, &a.inherited, heldAnswer{h.Key, h.Fingerprint, h.Answer, until}))
 	}
-	return became, true
+	return results, true
 }
 
-// close ends inheriting.
+// close makes inherit reject all further answers.
 func (a *answers) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
 }
 
-// get returns the answer to a request, nil if it is not held.
+// get returns the answer to a request, or nil if it is not held.
 func (a *answers) get(now core.Instant, k core.KeyID, f Fingerprint) *Answer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, ok := a.held[k]
-	if !ok || h.fingerprint != f || h.until <= now {
+	h, ok := a.byKey[k]
+	if !ok || h.fingerprint != f || h.expiresAt <= now {
 		return nil
 	}
 	return h.answer
 }
 
-// all returns what is held.
+// all returns the answers that have not expired, in no particular order.
 func (a *answers) all(now core.Instant) []heldAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire(now)
-	out := make([]heldAnswer, 0, len(a.held))
-	for _, h := range a.held {
+	out := make([]heldAnswer, 0, len(a.byKey))
+	for _, h := range a.byKey {
 		out = append(out, h)
 	}
 	return out
 }
 
-func (a *answers) add(now core.Instant, q *answerQueue, h heldAnswer) intake {
+func (a *answers) add(now core.Instant, q *answerQueue, h heldAnswer) putResult {
 	a.expire(now)
-	switch _, known := a.held[h.key]; {
+	switch _, known := a.byKey[h.key]; {
 	case h.answer == nil || len(h.answer.Body) > a.limits.EntryBytes:
-		return intakeTooLarge
-	case h.until <= now:
-		return intakeExpired
+		return putTooLarge
+	case h.expiresAt <= now:
+		return putExpired
 	case known:
-		return intakeDuplicate
+		return putDuplicate
 	}
-	a.held[h.key] = h
+	a.byKey[h.key] = h
 	q.insert(h)
 	for a.inherited.bytes > a.limits.InheritedBytes {
 		a.evict(&a.inherited, originInherited)
 	}
 	for a.own.bytes+a.inherited.bytes > a.limits.TotalBytes {
-		if a.inherited.firstUntil() < a.own.firstUntil() {
+		if a.inherited.firstExpiry() < a.own.firstExpiry() {
 			a.evict(&a.inherited, originInherited)
 		} else {
 			a.evict(&a.own, originOwn)
 		}
 	}
-	return intakeKept
+	return putKept
 }
 
 func (a *answers) evict(q *answerQueue, origin string) {
-	delete(a.held, q.pop().key)
-	a.evicted(origin)
+	delete(a.byKey, q.pop().key)
+	a.onEvict(origin)
 }
 
-// expire drops the answers whose time is over.
+// expire removes the expired answers.
 func (a *answers) expire(now core.Instant) {
 	for _, q := range []*answerQueue{&a.own, &a.inherited} {
-		for q.firstUntil() <= now {
-			delete(a.held, q.pop().key)
+		for q.firstExpiry() <= now {
+			delete(a.byKey, q.pop().key)
 		}
 	}
 }
 
-// answerQueue orders answers by the time left.
+// answerQueue is a queue of answers ordered by expiry time, earliest first.
 type answerQueue struct {
 	items []heldAnswer
 	bytes int
@@ -166,26 +169,26 @@
 
 func (q *answerQueue) insert(h heldAnswer) {
 	at := len(q.items)
-	for at > 0 && q.items[at-1].until > h.until {
+	for at > 0 && q.items[at-1].expiresAt > h.expiresAt {
 		at--
 	}
 	q.items = slices.Insert(q.items, at, h)
 	q.bytes += h.size()
 }
 
-// pop removes the answer with the least time left.
+// pop removes and returns the answer that expires first.
 func (q *answerQueue) pop() heldAnswer {
 	h := q.items[0]
-	q.items[0] = heldAnswer{} // frees its body
+	q.items[0] = heldAnswer{} // lets the garbage collector free the body
 	q.items = q.items[1:]
 	q.bytes -= h.size()
 	return h
 }
 
-// firstUntil is the until of the answer with the least time left.
-func (q *answerQueue) firstUntil() core.Instant {
+// firstExpiry returns the earliest expiry time in the queue, or Forever if it is empty.
+func (q *answerQueue) firstExpiry() core.Instant {
 	if len(q.items) == 0 {
 		return core.Forever
 	}
-	return q.items[0].until
+	return q.items[0].expiresAt
 }
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// inProgressRetry and refusedRetry are the least times after which a
-	// caller is asked to come back; jitter adds up to as much again.
+	// inProgressRetry and refusedRetry are the minimum times after which a caller is
+	// asked to retry; jitter adds up to the same time again.
 	inProgressRetry = time.Second
 	refusedRetry    = time.Second
-	// callShare is the share of the time left that one owner gets, so that
-	// another can be asked if it is frozen.
-	callShare = 0.6
-	// ownerShare is the share of a call's time in which the owner must reply.
-	ownerShare = 0.9
+	// firstCallShare is the share of the remaining time that the call to the first
+	// owner may take, so that another owner can be asked if the first is frozen.
+	firstCallShare = 0.6
+	// ownerReplyShare is the share of a call's timeout within which the owner has to
+	// reply.
+	ownerReplyShare = 0.9
 )
 
 // Claim implements Claimer.
@@ -45,10 +46,10 @@
 		Key: key, Fingerprint: f, Attempt: core.AttemptID(rand.Uint64()), Holder: s.self,
 	}, s.now(), s.deadline(ctx), s.settings.Attempt)
 	startedWall := time.Now().Round(0)
-	d, reason := s.decide(ctx, a)
+	d, reason := s.askOwners(ctx, a)
 	if d.Abandon {
 		s.metrics.abandoned.Inc()
-		s.push(a.End(core.NotRun))
+		s.queueEnd(a.End(core.NotRun))
 	}
 	if d.Move == core.MoveRefuse {
 		s.metrics.refusals.WithLabelValues(reason).Inc()
@@ -66,8 +67,8 @@
 	return v, nil
 }
 
-// refuse returns the refusal of an attempt that was not run. It says "no" only
-// if no earlier attempt with the key was run either.
+// refuse returns the refusal of an attempt that was not run. Its ran value is "no" only if
+// no earlier attempt with the key was run either, else "unknown".
 func refuse(clear bool, reason string) *problem.Problem {
 	if clear {
 		return problem.New(problem.ClaimsUnavailable, problem.RanNo, reason).After(jitter(refusedRetry))
@@ -77,11 +78,11 @@
 	).After(jitter(refusedRetry))
 }
 
-// decide asks owners until the attempt has a verdict or is refused for the
-// returned reason.
-func (s *Service) decide(ctx context.Context, a *core.Attempt) (core.Decision, string) {
+// askOwners asks owners one after the other until the attempt has a verdict or is refused.
+// The returned string is the reason of a refusal.
+func (s *Service) askOwners(ctx context.Context, a *core.Attempt) (core.Decision, string) {
 	for {
-		owner, ok := s.duties.pick(a.Ask.Key.Shard(), a.Asked())
+		owner, ok := s.selector.pick(a.Ask.Key.Shard(), a.Asked())
 		if !ok {
 			owner = membership.Node{ID: s.self.Node}
 		}
@@ -92,7 +93,7 @@
 		if err == nil {
 			return a.Replied(s.now(), reply), refusalReason(reply)
 		}
-		s.duties.failed(owner.ID)
+		s.selector.markFailed(owner.ID)
 		reason := callFailure(err)
 		d := a.Failed(s.now(), reason == reasonNoReply)
 		if d.Move != core.MoveAsk {
@@ -105,11 +106,11 @@
 func (s *Service) ask(ctx context.Context, owner membership.Node, a *core.Attempt) (core.Reply, error) {
 	wait := max(0, a.Deadline()-s.now())
 	if a.Asked() == 0 {
-		wait = time.Duration(float64(wait) * callShare)
+		wait = time.Duration(float64(wait) * firstCallShare)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	wait = time.Duration(float64(wait) * ownerShare)
+	wait = time.Duration(float64(wait) * ownerReplyShare)
 	if owner.ID == s.self.Node {
 		return s.owners[a.Ask.Key.Shard()].ask(ctx, a.Ask, wait)
 	}
@@ -118,7 +119,7 @@
 	return reply, err
 }
 
-// deadline is the caller's deadline on the service's clock.
+// deadline returns the caller's deadline as an Instant of the service, or Forever.
 func (s *Service) deadline(ctx context.Context) core.Instant {
 	at, ok := ctx.Deadline()
 	if !ok {
@@ -127,8 +128,8 @@
 	return s.now() + time.Until(at)
 }
 
-// callFailure is the metric label of a failed call. Only after reasonNoReply
-// may the owner have got the call.
+// callFailure returns the metric label value for a failed call. Only with reasonNoReply
+// may the owner have received the call.
 func callFailure(err error) string {
 	switch {
 	case errors.Is(err, peer.ErrUnreachable):
@@ -140,7 +141,7 @@
 	}
 }
 
-// refusalReason is the metric label of a reply that leads to a refusal.
+// refusalReason returns the metric label value for a reply that leads to a refusal.
 func refusalReason(r core.Reply) string {
 	switch r.Status {
 	case core.Unavailable:
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,6 +1,12 @@
-// Package claims makes a request that carries an Idempotency-Key run at most
-// once across the fleet. A claim is recorded in the platform's store before
-// the request is sent to a target.
+// Package claims makes a request that carries an Idempotency-Key run at most once across
+// all nodes. Before a node sends such a request to a target, it obtains a claim, the
+// exclusive right to run it, which is recorded in the platform's store.
+//
+// The keys are spread over shards. An owner of a shard is a node that records and grants
+// its claims. This is normally the primary owner, the node that ranks first for the shard
+// by rendezvous hashing; if that can't be reached, another node acts as owner. When a node
+// stops, it hands the answers that it keeps for repeated keys over to other nodes, its
+// successors; these inherit the answers.
 package claims
 
 import (
@@ -11,7 +17,7 @@
 	"github.com/knapweedgw/knapweedgw/kernel"
 )
 
-// ServiceID is the kernel name of the service that implements Claimer.
+// ServiceID is the kernel ID of the service that implements Claimer.
 const ServiceID kernel.ID = "claims.claimer"
 
 // Key identifies a request that may run at most once.
@@ -21,28 +27,30 @@
 	Idempotency string
 }
 
-// Fingerprint is a digest of method, path and body; a key that comes back
-// with another fingerprint is a conflict.
+// Fingerprint is a digest of method, path and body. A key that is repeated with another
+// fingerprint is a conflict.
 type Fingerprint = core.Fingerprint
 
-// State is what is recorded of a claim.
+// State is the recorded state of a claim, as seen by the attempt that asked for it.
 type State = core.State
 
 // The states of a claim.
 const (
-	// Granted means that this attempt, and no other, may run the request.
+	// Granted means that this attempt holds the claim: it, and no other, may run the
+	// request.
 	Granted = core.Granted
 	// InProgress means that another attempt holds the claim.
 	InProgress = core.InProgress
-	// Done means that the request was run; the answer may still be held.
+	// Done means that the request was run; the answer may still be kept by a node.
 	Done = core.Done
-	// Unknown means that an earlier attempt may have run the request.
+	// Unknown means that an earlier attempt may have run the request; it is not run
+	// again.
 	Unknown = core.Unknown
 	// Mismatch means that the key was used for another request.
 	Mismatch = core.Mismatch
 )
 
-// Answer is a whole answer, kept for callers that repeat the key.
+// Answer is a complete response of a target, kept for callers that repeat the key.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
@@ -53,8 +61,9 @@
 type Verdict struct {
 	State  State
 	Ticket Ticket  // set if Granted
-	Answer *Answer // set if Done and the answer is still held
-	// RetryAfter says when asking again may give another verdict.
+	Answer *Answer // set if Done and the answer is still kept
+	// RetryAfter is the time after which another Claim may give another verdict; set
+	// if InProgress.
 	RetryAfter time.Duration
 }
 
@@ -63,9 +72,9 @@
 
 // The outcomes of an attempt.
 const (
-	// NotRun means that no target ran the request; the key is free again.
+	// NotRun means that no target ran the request; the key can be claimed again.
 	NotRun = core.NotRun
-	// Ran means that a target ran the request and answered.
+	// Ran means that a target ran the request and returned an answer.
 	Ran = core.Ran
 	// Lost means that a target may have run the request.
 	Lost = core.Lost
@@ -73,20 +82,20 @@
 
 // Ticket is the right to run a request once.
 type Ticket interface {
-	// Valid says whether the request may still be sent. It is false once the
-	// ticket has aged beyond its limit, for example after the node was
-	// frozen; call it right before sending.
+	// Valid reports whether the request may still be sent; call it right before
+	// sending. It returns false once the ticket is older than its limit, for example
+	// because the node was frozen for a while.
 	Valid() bool
-	// Finish records how the attempt ended. It doesn't block; the record is
-	// written in the background until it is kept. answer may be nil.
+	// Finish records the outcome of the attempt. It doesn't block: the record is
+	// written in the background, with retries until it is in the store. answer may
+	// be nil.
 	Finish(o Outcome, answer *Answer)
 }
 
 // Claimer grants claims.
 type Claimer interface {
-	// Claim asks for the right to run a request. If the claim can't be
-	// recorded now it returns a *problem.Problem: this attempt must not be
-	// run, and ran is "no" if no earlier one with the key was run either, else
-	// "unknown".
+	// Claim asks for the right to run a request. If the claim can't be recorded now,
+	// it returns a *problem.Problem: this attempt must not be run. The problem's Ran
+	// is "no" if no earlier attempt with the key was run either, else "unknown".
 	Claim(ctx context.Context, k Key, f Fingerprint) (Verdict, error)
 }
--- a/claims/duty.go
+++ b/claims/duty.go
@@ -9,84 +9,87 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
-// avoidFor is how long a node that gave no reply is asked last.
-const avoidFor = 5 * time.Second
+// avoidDuration is how long a node is asked last after a failed call to it.
+const avoidDuration = 5 * time.Second
 
-// duties ranks the nodes for each shard by rendezvous hashing. The first is
-// the shard's owner; nodes that disagree on it cost conflicts, no more.
-type duties struct {
+// ownerSelector ranks the nodes for each shard by rendezvous hashing. The first is the
+// shard's primary owner. Nodes with different membership views may rank differently; this
+// only leads to conflicting transactions, which the store rejects.
+type ownerSelector struct {
 	view membership.Source
 	now  func() core.Instant
 
-	mu     sync.Mutex
-	ranked *membership.View // the view that ranks was made of
-	ranks  [core.Shards][]membership.Node
-	avoid  map[string]core.Instant
+	mu         sync.Mutex
+	rankedView *membership.View // the view from which ranks was computed
+	ranks      [core.Shards][]membership.Node
+	avoidUntil map[string]core.Instant
 }
 
-func newDuties(view membership.Source, now func() core.Instant) *duties {
-	return &duties{view: view, now: now, avoid: make(map[string]core.Instant)}
+func newOwnerSelector(view membership.Source, now func() core.Instant) *ownerSelector {
+	return &ownerSelector{view: view, now: now, avoidUntil: make(map[string]core.Instant)}
 }
 
-// pick returns the node to ask for a shard after a number of failed tries;
-// ok is false if there is none.
-func (d *duties) pick(shard, tries int) (n membership.Node, ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.refresh()
-	now := d.now()
-	for _, n := range d.ranks[shard] {
-		if until, bad := d.avoid[n.ID]; bad && now < until {
+// pick returns the node to ask for a shard after the given number of failed tries: the
+// first in the ranking whose last call did not fail within avoidDuration, or, if there is
+// none, the next in turn. ok is false if the view has no usable node.
+func (o *ownerSelector) pick(shard, tries int) (n membership.Node, ok bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.refresh()
+	now := o.now()
+	for _, n := range o.ranks[shard] {
+		if until, avoided := o.avoidUntil[n.ID]; avoided && now < until {
 			continue
 		}
-		delete(d.avoid, n.ID)
+		delete(o.avoidUntil, n.ID)
 		return n, true
 	}
-	if len(d.ranks[shard]) == 0 {
+	if len(o.ranks[shard]) == 0 {
 		return membership.Node{}, false
 	}
-	return d.ranks[shard][tries%len(d.ranks[shard])], true
+	return o.ranks[shard][tries%len(o.ranks[shard])], true
 }
 
-// first returns the owner of a shard, whether it was avoided or not.
-func (d *duties) first(shard int) (n membership.Node, ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.refresh()
-	if len(d.ranks[shard]) == 0 {
+// primary returns the primary owner of a shard, even if pick avoids it; ok is false if
+// the view has no usable node.
+func (o *ownerSelector) primary(shard int) (n membership.Node, ok bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.refresh()
+	if len(o.ranks[shard]) == 0 {
 		return membership.Node{}, false
 	}
-	return d.ranks[shard][0], true
+	return o.ranks[shard][0], true
 }
 
-func (d *duties) refresh() {
-	if v := d.view.View(); v != d.ranked {
-		d.rank(v)
+func (o *ownerSelector) refresh() {
+	if v := o.view.View(); v != o.rankedView {
+		o.rank(v)
 	}
 }
 
-// failed notes that a node gave no reply.
-func (d *duties) failed(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.avoid[id] = d.now() + avoidFor
+// markFailed makes pick avoid a node for avoidDuration.
+func (o *ownerSelector) markFailed(id string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.avoidUntil[id] = o.now() + avoidDuration
 }
 
-// ranked owners kept for each shard.
+// rankedOwners is the number of nodes ranked for each shard.
 const rankedOwners = 4
 
-func (d *duties) rank(v *membership.View) {
-	d.ranked = v
+func (o *ownerSelector) rank(v *membership.View) {
+	o.rankedView = v
 	r := newRanking(v, membership.Suspect)
-	for shard := range d.ranks {
-		d.ranks[shard] = r.top("claims/"+strconv.Itoa(shard), rankedOwners)
+	for shard := range o.ranks {
+		o.ranks[shard] = r.top("claims/"+strconv.Itoa(shard), rankedOwners)
 	}
 }
 
-// alive says whether the run of a node that holds a claim may go on. A node
-// that is not in the view may have started a moment ago; those that died stay
-// in it for long.
-func (d *duties) alive(h core.Holder) bool {
-	n, ok := d.view.View().Node(h.Node)
+// alive reports whether the node process that holds a claim may still be running. It
+// returns true for a node that is not in the view: it may have started just now, and
+// dead nodes stay in the view for a long time.
+func (o *ownerSelector) alive(h core.Holder) bool {
+	n, ok := o.view.View().Node(h.Node)
 	return !ok || n.State != membership.Dead && n.Incarnation <= h.Incarnation
 }
--- a/claims/ends.go
+++ b/claims/ends.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// endTimeout is how long a call to record outcomes may take.
+	// endTimeout is the timeout of a call to record outcomes.
 	endTimeout = 3 * time.Second
-	// endWait is how long an owner may hold such a call.
+	// endWait is how long the owner waits for the outcomes to be recorded.
 	endWait = 2 * time.Second
 )
 
-// push queues an outcome for its owner.
-func (s *Service) push(e core.End) {
+// queueEnd queues an outcome to be sent to the owner of its shard.
+func (s *Service) queueEnd(e core.End) {
 	s.mu.Lock()
 	ok := s.ends.Push(e)
 	s.metrics.pending.Set(float64(s.ends.Len()))
@@ -26,17 +26,17 @@
 		s.metrics.ends.WithLabelValues("dropped").Inc()
 		return
 	}
-	s.nudge()
+	s.wakeUp()
 }
 
-func (s *Service) nudge() {
+func (s *Service) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// sendEnds passes the outcomes to their owners until ctx ends.
+// sendEnds sends the queued outcomes to the owners of their shards until ctx ends.
 func (s *Service) sendEnds(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -47,11 +47,11 @@
 			go s.sendBatch(ctx, shard, batch)
 			continue
 		}
-		s.sleep(ctx, at)
+		s.waitUntil(ctx, at)
 	}
 }
 
-func (s *Service) sleep(ctx context.Context, until core.Instant) {
+func (s *Service) waitUntil(ctx context.Context, until core.Instant) {
 	timer := time.NewTimer(until - s.now())
 	defer timer.Stop()
 	select {
@@ -62,7 +62,7 @@
 }
 
 func (s *Service) sendBatch(ctx context.Context, shard int, batch []core.End) {
-	ok := s.tell(ctx, shard, batch)
+	ok := s.sendToOwner(ctx, shard, batch)
 	result := "recorded"
 	if !ok {
 		result = "retried"
@@ -72,21 +72,22 @@
 	s.ends.Sent(s.now(), shard, ok, rand.Float64())
 	s.metrics.pending.Set(float64(s.ends.Len()))
 	s.mu.Unlock()
-	s.nudge()
+	s.wakeUp()
 }
 
-// tell calls a shard's owner and reports whether it recorded the outcomes.
-func (s *Service) tell(ctx context.Context, shard int, batch []core.End) bool {
+// sendToOwner sends outcomes to the owner of a shard and reports whether it recorded all
+// of them.
+func (s *Service) sendToOwner(ctx context.Context, shard int, batch []core.End) bool {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
-	node, ok := s.duties.pick(shard, 0)
+	node, ok := s.selector.pick(shard, 0)
 	if !ok || node.ID == s.self.Node {
-		return s.record(ctx, shard, batch)
+		return s.recordAsOwner(ctx, shard, batch)
 	}
 	var r endResult
 	err := s.peers.Call(ctx, node.PeerAddr, methodEnd, endParams{shard, batch}, &r)
 	if err != nil {
-		s.duties.failed(node.ID)
+		s.selector.markFailed(node.ID)
 		s.metrics.retries.WithLabelValues(methodEnd, callFailure(err)).Inc()
 		return false
 	}
@@ -96,18 +97,19 @@
 	return r.Recorded
 }
 
-// record writes outcomes as the shard's owner; all must be kept.
-func (s *Service) record(ctx context.Context, shard int, batch []core.End) bool {
+// recordAsOwner records outcomes as an owner of the shard and reports whether all of them
+// are recorded.
+func (s *Service) recordAsOwner(ctx context.Context, shard int, batch []core.End) bool {
 	var wg sync.WaitGroup
-	kept := make([]bool, len(batch))
+	recorded := make([]bool, len(batch))
 	for i, e := range batch {
 		wg.Go(func() {
 			r, err := s.owners[shard].end(ctx, e, endWait)
-			kept[i] = err == nil && r.Status == core.Recorded
+			recorded[i] = err == nil && r.Status == core.Recorded
 		})
 	}
 	wg.Wait()
-	for _, ok := range kept {
+	for _, ok := range recorded {
 		if !ok {
 			return false
 		}
--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -23,26 +23,26 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// link is what befalls calls to a node.
+// link is the state of the network link to a node.
 type link int
 
 const (
-	linkUp      link = iota
-	linkDown         // unreachable
-	linkSilent       // the call is not seen and has no reply
-	linkMuffled      // the call is served, the reply is lost
+	linkUp           link = iota
+	linkDown              // calls fail with peer.ErrUnreachable
+	linkDropsCalls        // calls are not delivered and time out
+	linkDropsReplies      // calls are served, but their replies are lost
 )
 
-// fleet is a set of services with a network and a store that can fail.
+// fleet is a set of services that share a network and a store, both with injected faults.
 type fleet struct {
 	store *faultyStore
 	view  atomic.Pointer[membership.View]
 
 	mu       sync.Mutex
 	links    map[string]link
-	failures int // the next calls that find their node unreachable
+	failures int // number of next calls that fail with peer.ErrUnreachable
 	calls    int
-	bytes    int // of the calls' parameters, in JSON
+	bytes    int // total size of the calls' parameters in JSON
 	handlers map[string]map[string]peer.Handler
 	nodes    map[string]*Service
 }
@@ -50,7 +50,7 @@
 // View implements membership.Source.
 func (f *fleet) View() *membership.View { return f.view.Load() }
 
-// port is one node's access to the network. Addresses are node IDs.
+// port is one node's Peers. Addresses are node IDs.
 type port struct {
 	fleet *fleet
 	self  string
@@ -77,7 +77,7 @@
 	switch state {
 	case linkDown:
 		return peer.ErrUnreachable
-	case linkSilent:
+	case linkDropsCalls:
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if state == linkMuffled {
+	if state == linkDropsReplies {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -113,27 +113,27 @@
 	f.bytes += bytes
 }
 
-func (f *fleet) up(id string) bool {
+func (f *fleet) isUp(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.links[id] != linkDown
 }
 
-// failFirst lets the next calls find their nodes unreachable.
-func (f *fleet) failFirst(calls int) {
+// failCalls makes the given number of next calls fail with peer.ErrUnreachable.
+func (f *fleet) failCalls(calls int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures = calls
 }
 
-// owner returns the ID of the node that owns a key's shard.
+// owner returns the ID of the primary owner of a key's shard.
 func (f *fleet) owner(k Key) string {
-	n, _ := newDuties(f, func() core.Instant { return 0 }).pick(core.NewKeyID(k.Team, k.Workspace, k.Idempotency).Shard(), 0)
+	n, _ := newOwnerSelector(f, func() core.Instant { return 0 }).pick(core.NewKeyID(k.Team, k.Workspace, k.Idempotency).Shard(), 0)
 	return n.ID
 }
 
-// other returns a node that doesn't own the key's shard.
-func (f *fleet) other(k Key) *Service {
+// nonOwner returns a node that is not the primary owner of the key's shard.
+func (f *fleet) nonOwner(k Key) *Service {
 	owner := f.owner(k)
 	for id, s := range f.nodes {
 		if id != owner {
@@ -149,7 +149,7 @@
 	return f
 }
 
-// buildFleet returns a fleet that has not started.
+// buildFleet returns a fleet whose services are not started.
 func buildFleet(set Settings, ids ...string) *fleet {
 	f := &fleet{
 		store:    &faultyStore{Store: memory.New(time.Now)},
@@ -163,19 +163,19 @@
 	}
 	f.view.Store(view)
 	for _, id := range ids {
-		f.build(set, id, 1)
+		f.addNode(set, id, 1)
 	}
 	return f
 }
 
-// build adds a run of a node.
-func (f *fleet) build(set Settings, id string, incarnation int64) {
+// addNode adds a service for a node with the given incarnation, replacing an earlier one.
+func (f *fleet) addNode(set Settings, id string, incarnation int64) {
 	f.nodes[id] = NewService(core.Holder{Node: id, Incarnation: incarnation}, set, f.store, port{f, id}, f,
 		log.New(io.Discard), prometheus.NewRegistry())
 }
 
-// show replaces what the view shows of a node.
-func (f *fleet) show(n membership.Node) {
+// replaceNode replaces the entry of a node in the membership view.
+func (f *fleet) replaceNode(n membership.Node) {
 	v := &membership.View{Nodes: slices.Clone(f.View().Nodes)}
 	for i := range v.Nodes {
 		if v.Nodes[i].ID == n.ID {
@@ -185,12 +185,13 @@
 	f.view.Store(v)
 }
 
-// hide takes a node out of the view's duties.
-func (f *fleet) hide(id string) {
-	f.show(membership.Node{ID: id, PeerAddr: id, State: membership.Leaving})
+// markLeaving sets the state of a node in the membership view to membership.Leaving.
+func (f *fleet) markLeaving(id string) {
+	f.replaceNode(membership.Node{ID: id, PeerAddr: id, State: membership.Leaving})
 }
 
-// stop stops a node as planned; the view need not show it yet.
+// stop drains and stops nodes, and then makes them unreachable. The membership view stays
+// as it is, like that of a node that has not yet received the change.
 func (f *fleet) stop(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
@@ -216,17 +217,17 @@
 	}
 }
 
-// faultyStore passes calls to a store, or fails them.
+// faultyStore forwards calls to a store and injects faults.
 type faultyStore struct {
 	store.Store
 
 	mu sync.Mutex
-	// refuse fails every call without effect.
+	// refuse makes every call fail without effect.
 	refuse bool
-	// loseAnswers fails so many commits after their effect.
-	loseAnswers int
+	// loseResults is the number of next commits that fail after taking effect.
+	loseResults int
 	commits     int
-	// hold, if not nil, delays commits until it is closed.
+	// hold, if not nil, blocks commits until it is closed.
 	hold chan struct{}
 }
 
@@ -259,15 +260,15 @@
 		return 0, false, store.ErrUnavailable
 	}
 	revision, ok, err := s.Store.Commit(ctx, t)
-	if s.loseAnswers > 0 {
-		s.loseAnswers--
+	if s.loseResults > 0 {
+		s.loseResults--
 		return 0, false, store.ErrUncertain
 	}
 	return revision, ok, err
 }
 
-// quick are settings whose waits are short.
-func quick() Settings {
+// fastSettings returns settings with short pauses, for tests.
+func fastSettings() Settings {
 	s := DefaultSettings()
 	s.Shard.Interval = time.Millisecond
 	s.Shard.MaxStateAge = 0
@@ -279,7 +280,7 @@
 	return s
 }
 
-// claim asks for a key until the verdict is not in progress.
+// claim calls Claim until the verdict is not InProgress.
 func claim(t *testing.T, s *Service, k Key, f Fingerprint) Verdict {
 	t.Helper()
 	for {
--- a/claims/handover.go
+++ b/claims/handover.go
@@ -14,97 +14,99 @@
 )
 
 const (
-	// handoverCalls is the number of calls in progress at most.
+	// handoverCalls is the maximum number of concurrent calls.
 	handoverCalls = 8
-	// inheritTimeout bounds one call to an heir.
+	// inheritTimeout is the timeout of one call to a successor.
 	inheritTimeout = 1500 * time.Millisecond
-	// handoverRounds is how often heirs that gave no reply are asked.
+	// handoverRounds is the number of times that a successor is called if it doesn't
+	// reply.
 	handoverRounds = 3
-	// handoverPause is the least time between the rounds; jitter adds up to as
-	// much again.
+	// handoverPause is the minimum time between the rounds; jitter adds up to the same
+	// time again.
 	handoverPause = 100 * time.Millisecond
 )
 
-// What became of answers that were to be handed over, as metric labels.
+// The results of handing over answers. They are metric label values.
 const (
-	handedOver   = "handed_over"
-	handedNoHeir = "no_heir"
-	handedLate   = "time_over"
+	resultHandedOver  = "handed_over"
+	resultNoSuccessor = "no_heir"
+	resultTimeOver    = "time_over"
 )
 
-// handOver passes the kept answers on to other nodes until ctx ends.
+// handOver hands the kept answers over to other nodes until all are handed over or ctx
+// ends.
 func (s *Service) handOver(ctx context.Context) {
 	s.answers.close()
-	ranked := newRanking(s.duties.view.View(), membership.Suspect)
+	ranked := newRanking(s.selector.view.View(), membership.Suspect)
 	work := make(chan answerBatch)
 	var lost atomic.Int64
 	var calls sync.WaitGroup
 	for range handoverCalls {
 		calls.Go(func() {
 			for b := range work {
-				result := s.handBatch(ctx, ranked.heirs(b.group, s.self.Node), b)
+				result := s.handOverBatch(ctx, ranked.successors(b.group, s.self.Node), b)
 				s.metrics.handed.WithLabelValues(result).Add(float64(len(b.answers)))
-				if result != handedOver {
+				if result != resultHandedOver {
 					lost.Add(int64(len(b.answers)))
 				}
 			}
 		})
 	}
 	now := s.now()
-	for _, b := range batches(now, s.answers.all(now)) {
+	for _, b := range splitIntoBatches(now, s.answers.all(now)) {
 		work <- b
 	}
 	close(work)
 	calls.Wait()
 	if n := lost.Load(); n > 0 {
-		s.log.Warn("claims: stopped with answers that no node inherited; repeats of their keys are told so", "answers", n)
+		s.log.Warn("claims: stopped with answers that no node inherited; repeats of their keys get no answer", "answers", n)
 	}
 }
 
-// handBatch offers a batch to heirs until one keeps it, and returns what became
-// of it. Those that gave no reply are asked again.
-func (s *Service) handBatch(ctx context.Context, heirs []membership.Node, b answerBatch) string {
+// handOverBatch offers a batch to successors until one keeps it, and returns the result as
+// a metric label value. Successors that don't reply are called again.
+func (s *Service) handOverBatch(ctx context.Context, successors []membership.Node, b answerBatch) string {
 	for range handoverRounds {
-		kept, silent := s.offer(ctx, heirs, b)
+		kept, unanswered := s.offer(ctx, successors, b)
 		switch {
 		case kept:
-			return handedOver
+			return resultHandedOver
 		case ctx.Err() != nil:
-			return handedLate
-		case len(silent) == 0:
-			return handedNoHeir
+			return resultTimeOver
+		case len(unanswered) == 0:
+			return resultNoSuccessor
 		}
-		heirs = silent
+		successors = unanswered
 		pause.Sleep(ctx, jitter(handoverPause))
 	}
-	return handedNoHeir
+	return resultNoSuccessor
 }
 
-// offer asks each heir in turn until one keeps the batch or ctx ends. It
-// returns those that gave no reply.
-func (s *Service) offer(ctx context.Context, heirs []membership.Node, b answerBatch) (kept bool, silent []membership.Node) {
-	for _, heir := range heirs {
+// offer calls each successor in turn until one keeps the batch or ctx ends. It returns the
+// successors that didn't reply.
+func (s *Service) offer(ctx context.Context, successors []membership.Node, b answerBatch) (kept bool, unanswered []membership.Node) {
+	for _, successor := range successors {
 		if ctx.Err() != nil {
-			return false, silent
+			return false, unanswered
 		}
-		r, err := s.callInherit(ctx, heir, b)
+		r, err := s.callInherit(ctx, successor, b)
 		switch {
 		case err != nil:
 			s.metrics.retries.WithLabelValues(methodInherit, callFailure(err)).Inc()
-			silent = append(silent, heir)
+			unanswered = append(unanswered, successor)
 		case r.Kept:
 			return true, nil
 		default:
 			s.metrics.retries.WithLabelValues(methodInherit, reasonStopping).Inc()
 		}
 	}
-	return false, silent
+	return false, unanswered
 }
 
-func (s *Service) callInherit(ctx context.Context, heir membership.Node, b answerBatch) (r inheritResult, err error) {
+func (s *Service) callInherit(ctx context.Context, successor membership.Node, b answerBatch) (r inheritResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, inheritTimeout)
 	defer cancel()
-	err = s.peers.Call(ctx, heir.PeerAddr, methodInherit, inheritParams{b.answers}, &r)
+	err = s.peers.Call(ctx, successor.PeerAddr, methodInherit, inheritParams{b.answers}, &r)
 	return r, err
 }
 
@@ -113,11 +115,11 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, errors.Wrap(err, methodInherit)
 	}
-	became, ok := s.answers.inherit(s.now(), p.Answers)
+	results, ok := s.answers.inherit(s.now(), p.Answers)
 	if !ok {
 		s.metrics.inherited.WithLabelValues(reasonStopping).Add(float64(len(p.Answers)))
 	}
-	for _, b := range became {
+	for _, b := range results {
 		s.metrics.inherited.WithLabelValues(string(b)).Inc()
 	}
 	return inheritResult{Kept: ok}, nil
--- a/claims/handover_bench_test.go
+++ b/claims/handover_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// BenchmarkHandOver hands over as many answers of 1 KB as a node keeps.
+// BenchmarkHandOver measures the handover of as many answers of 1 KB as a node keeps.
 func BenchmarkHandOver(b *testing.B) {
 	for _, nodes := range []int{8, 53, 370} {
 		b.Run(fmt.Sprint(nodes, "_nodes"), func(b *testing.B) {
@@ -19,7 +19,7 @@
 			s := f.nodes[ids[0]]
 			body := make([]byte, 1<<10)
 			for i := range s.settings.Answers.TotalBytes / (entryOverhead + len(body)) {
-				s.answers.put(0, core.NewKeyID("", "", fmt.Sprint(i)), testBody, &Answer{Status: 200, Body: body})
+				s.answers.put(0, core.NewKeyID("", "", fmt.Sprint(i)), testFingerprint, &Answer{Status: 200, Body: body})
 			}
 			b.ResetTimer()
 			for range b.N {
--- a/claims/handover_test.go
+++ b/claims/handover_test.go
@@ -15,93 +15,95 @@
 
 var testID = core.NewKeyID(testKey.Team, testKey.Workspace, testKey.Idempotency)
 
-// heirs returns the nodes that inherit testKey's answer of a node.
-func (f *fleet) heirs(of string) []string {
+// successors returns the IDs of the nodes that inherit the answer for testKey from a node.
+func (f *fleet) successors(of string) []string {
 	var ids []string
-	for _, n := range newRanking(f.View(), membership.Suspect).heirs(answerGroup(testID), of) {
+	for _, n := range newRanking(f.View(), membership.Suspect).successors(answerGroup(testID), of) {
 		ids = append(ids, n.ID)
 	}
 	return ids
 }
 
-// TestPlannedStopKeepsAnswers lets node a run a request and stop, under
-// faults; then the key is repeated at every node that is up.
+// TestPlannedStopKeepsAnswers guards against losing the answers of a node that is stopped
+// as planned. Node a runs a request and stops, with faults before and after; then the key
+// is repeated at every node that is up, and must get the answer unless lost is set.
 func TestPlannedStopKeepsAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// before, during and after the stop of a; heirs are its ranked heirs
-		before func(t *testing.T, f *fleet, heirs []string)
-		stops  func(heirs []string) []string
-		after  func(t *testing.T, f *fleet, heirs []string)
+		// before and after run before and after the stop of a; stops returns the nodes
+		// that stop together, by default only a. successors are those of a, in order.
+		before func(t *testing.T, f *fleet, successors []string)
+		stops  func(successors []string) []string
+		after  func(t *testing.T, f *fleet, successors []string)
 		lost   bool
 	}{
-		{name: "and the view still shows the node"},
-		{name: "and the view shows the node as dead", after: func(_ *testing.T, f *fleet, _ []string) {
-			f.show(membership.Node{ID: "a", PeerAddr: "a", Incarnation: 1, State: membership.Dead})
+		{name: "and the view still has the node"},
+		{name: "and the node is dead in the view", after: func(_ *testing.T, f *fleet, _ []string) {
+			f.replaceNode(membership.Node{ID: "a", PeerAddr: "a", Incarnation: 1, State: membership.Dead})
 		}},
-		{name: "and the node runs again", after: func(t *testing.T, f *fleet, _ []string) { f.restart(t, "a") }},
-		{name: "and runs again, unknown to the view", after: func(t *testing.T, f *fleet, _ []string) {
+		{name: "and the node restarts", after: func(t *testing.T, f *fleet, _ []string) { f.restart(t, "a") }},
+		{name: "and restarts, but the view has the old incarnation", after: func(t *testing.T, f *fleet, _ []string) {
 			shown, _ := f.View().Node("a")
 			f.restart(t, "a")
-			f.show(shown)
+			f.replaceNode(shown)
 		}},
-		{name: "while the heir is unreachable", before: linkHeirs(linkDown), after: linkHeirs(linkUp)},
-		{name: "while the heir is frozen", before: linkHeirs(linkSilent), after: linkHeirs(linkUp)},
-		{name: "while the heir's replies are lost", before: linkHeirs(linkMuffled), after: linkHeirs(linkUp)},
-		{name: "while every other node is unreachable for a moment", before: func(_ *testing.T, f *fleet, heirs []string) {
-			f.failFirst(len(heirs))
+		{name: "while the successor is unreachable", before: linkFirstSuccessor(linkDown), after: linkFirstSuccessor(linkUp)},
+		{name: "while the successor is frozen", before: linkFirstSuccessor(linkDropsCalls), after: linkFirstSuccessor(linkUp)},
+		{name: "while the successor's replies are lost", before: linkFirstSuccessor(linkDropsReplies), after: linkFirstSuccessor(linkUp)},
+		{name: "while every other node is unreachable for a short time", before: func(_ *testing.T, f *fleet, successors []string) {
+			f.failCalls(len(successors))
 		}},
-		{name: "with the heir at once", stops: func(heirs []string) []string { return []string{"a", heirs[0]} }},
-		{name: "with three heirs at once", stops: func(heirs []string) []string { return append([]string{"a"}, heirs[:3]...) }},
-		{name: "and each heir stops after it", after: func(t *testing.T, f *fleet, heirs []string) {
-			for _, id := range heirs[:len(heirs)-1] {
+		{name: "together with the successor", stops: func(successors []string) []string { return []string{"a", successors[0]} }},
+		{name: "together with three successors", stops: func(successors []string) []string { return append([]string{"a"}, successors[:3]...) }},
+		{name: "and the successors stop one after the other", after: func(t *testing.T, f *fleet, successors []string) {
+			for _, id := range successors[:len(successors)-1] {
 				f.stop(t, id)
 			}
 		}},
-		{name: "and the heir drains after it", after: func(t *testing.T, f *fleet, heirs []string) {
-			is.New(t).NoErr(f.nodes[heirs[0]].Drain(t.Context()))
-			f.hide(heirs[0])
+		{name: "and the successor drains", after: func(t *testing.T, f *fleet, successors []string) {
+			is.New(t).NoErr(f.nodes[successors[0]].Drain(t.Context()))
+			f.markLeaving(successors[0])
 		}},
-		{name: "and a newcomer ranks first",
-			before: func(_ *testing.T, f *fleet, heirs []string) { f.hide(heirs[0]) },
-			after: func(_ *testing.T, f *fleet, heirs []string) {
-				f.show(membership.Node{ID: heirs[0], PeerAddr: heirs[0]})
+		{name: "and a new node ranks first",
+			before: func(_ *testing.T, f *fleet, successors []string) { f.markLeaving(successors[0]) },
+			after: func(_ *testing.T, f *fleet, successors []string) {
+				f.replaceNode(membership.Node{ID: successors[0], PeerAddr: successors[0]})
 			}},
-		{name: "and the heir dies", after: linkHeirs(linkDown), lost: true},
-		{name: "and nobody can inherit", before: func(_ *testing.T, f *fleet, heirs []string) {
-			for _, id := range heirs {
+		{name: "and the successor crashes", after: linkFirstSuccessor(linkDown), lost: true},
+		{name: "and no node can inherit", before: func(_ *testing.T, f *fleet, successors []string) {
+			for _, id := range successors {
 				f.link(id, linkDown)
 			}
-		}, after: func(_ *testing.T, f *fleet, heirs []string) {
-			for _, id := range heirs {
+		}, after: func(_ *testing.T, f *fleet, successors []string) {
+			for _, id := range successors {
 				f.link(id, linkUp)
 			}
 		}, lost: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(t, quick(), "a", "b", "c", "d", "e", "f")
-			v := claim(t, f.nodes["a"], testKey, testBody)
+			f := newFleet(t, fastSettings(), "a", "b", "c", "d", "e", "f")
+			v := claim(t, f.nodes["a"], testKey, testFingerprint)
 			is.Equal(v.State, Granted)
 			v.Ticket.Finish(Ran, &Answer{Status: 200, Body: []byte("sent")})
 			f.flush(t, "a")
-			heirs := f.heirs("a")
+			successors := f.successors("a")
 			stops := []string{"a"}
 			if tc.stops != nil {
-				stops = tc.stops(heirs)
+				stops = tc.stops(successors)
 			}
 			if tc.before != nil {
-				tc.before(t, f, heirs)
+				tc.before(t, f, successors)
 			}
 			f.stop(t, stops...)
 			if tc.after != nil {
-				tc.after(t, f, heirs)
+				tc.after(t, f, successors)
 			}
 			asked := 0
 			for id, s := range f.nodes {
-				if f.up(id) {
+				if f.isUp(id) {
 					asked++
-					v := claim(t, s, testKey, testBody)
+					v := claim(t, s, testKey, testFingerprint)
 					is.Equal(v.State, Done)
 					is.Equal(v.Answer == nil, tc.lost)
 				}
@@ -111,8 +113,8 @@
 	}
 }
 
-func linkHeirs(l link) func(*testing.T, *fleet, []string) {
-	return func(_ *testing.T, f *fleet, heirs []string) { f.link(heirs[0], l) }
+func linkFirstSuccessor(l link) func(*testing.T, *fleet, []string) {
+	return func(_ *testing.T, f *fleet, successors []string) { f.link(successors[0], l) }
 }
 
 // flush waits until a node's outcomes are recorded.
@@ -123,67 +125,67 @@
 	}
 }
 
-// restart runs a node again, which knows nothing.
+// restart replaces a node by a new service with the next incarnation and empty memory.
 func (f *fleet) restart(t *testing.T, id string) {
-	f.build(quick(), id, 2)
+	f.addNode(fastSettings(), id, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	if err := f.nodes[id].Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	f.show(membership.Node{ID: id, PeerAddr: id, Incarnation: 2})
+	f.replaceNode(membership.Node{ID: id, PeerAddr: id, Incarnation: 2})
 	f.link(id, linkUp)
 }
 
-// TestEveryAnswerIsAccountedFor checks the counters of a handover of more
-// answers than an heir may keep, one of them known there already.
-func TestEveryAnswerIsAccountedFor(t *testing.T) {
+// TestHandoverCountsEveryAnswer checks the metrics of a handover of more answers than the
+// successor may inherit; the successor has one of them already.
+func TestHandoverCountsEveryAnswer(t *testing.T) {
 	is := is.New(t)
 	const n = 300
-	set := quick()
-	set.Answers.InheritedBytes = 200 * room
+	set := fastSettings()
+	set.Answers.InheritedBytes = 200 * testAnswerSize
 	f := newFleet(t, set, "a", "b")
 	for i := range n {
-		f.nodes["a"].answers.put(0, core.NewKeyID("", "", fmt.Sprint(i)), testBody, &Answer{Body: make([]byte, 100)})
+		f.nodes["a"].answers.put(0, core.NewKeyID("", "", fmt.Sprint(i)), testFingerprint, &Answer{Body: make([]byte, 100)})
 	}
-	f.nodes["b"].answers.put(0, core.NewKeyID("", "", "0"), testBody, &Answer{})
+	f.nodes["b"].answers.put(0, core.NewKeyID("", "", "0"), testFingerprint, &Answer{})
 	f.stop(t, "a")
 	value := testutil.ToFloat64
-	is.Equal(value(f.nodes["a"].metrics.handed.WithLabelValues(handedOver)), float64(n))
+	is.Equal(value(f.nodes["a"].metrics.handed.WithLabelValues(resultHandedOver)), float64(n))
 	m := f.nodes["b"].metrics
-	is.Equal(value(m.inherited.WithLabelValues(string(intakeKept))), float64(n-1))
-	is.Equal(value(m.inherited.WithLabelValues(string(intakeDuplicate))), 1.0)
+	is.Equal(value(m.inherited.WithLabelValues(string(putKept))), float64(n-1))
+	is.Equal(value(m.inherited.WithLabelValues(string(putDuplicate))), 1.0)
 	is.Equal(value(m.evicted.WithLabelValues(originInherited)), float64(n-1-200))
-	is.Equal(len(f.nodes["b"].answers.held), 201)
+	is.Equal(len(f.nodes["b"].answers.byKey), 201)
 
-	f.stop(t, "b") // the last one
-	is.Equal(value(m.handed.WithLabelValues(handedNoHeir)), 201.0)
+	f.stop(t, "b") // the last node, so that there is no successor
+	is.Equal(value(m.handed.WithLabelValues(resultNoSuccessor)), 201.0)
 }
 
-func TestHandoverEndsWithItsTime(t *testing.T) {
+func TestHandoverStopsAtItsDeadline(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, quick(), "a", "b")
-	f.nodes["a"].answers.put(0, testID, testBody, &Answer{})
+	f := newFleet(t, fastSettings(), "a", "b")
+	f.nodes["a"].answers.put(0, testID, testFingerprint, &Answer{})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	is.NoErr(f.nodes["a"].Stop(ctx))
-	is.Equal(testutil.ToFloat64(f.nodes["a"].metrics.handed.WithLabelValues(handedLate)), 1.0)
+	is.Equal(testutil.ToFloat64(f.nodes["a"].metrics.handed.WithLabelValues(resultTimeOver)), 1.0)
 }
 
-func TestBatchesAreBounded(t *testing.T) {
+func TestHandoverBatchesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var held []heldAnswer
 	for i := range 200 {
 		held = append(held, heldAnswer{
-			key: core.NewKeyID("", "", fmt.Sprint(i)), answer: &Answer{Body: make([]byte, 64<<10)}, until: time.Duration(i+1) * time.Second,
+			key: core.NewKeyID("", "", fmt.Sprint(i)), answer: &Answer{Body: make([]byte, 64<<10)}, expiresAt: time.Duration(i+1) * time.Second,
 		})
 	}
 	seen := 0
-	for _, b := range batches(0, held) {
+	for _, b := range splitIntoBatches(0, held) {
 		size, last := 0, time.Duration(1<<62)
 		for _, h := range b.answers {
 			is.Equal(answerGroup(h.Key), b.group)
-			is.True(h.keep() < last) // the most time left first
+			is.True(h.keep() < last) // the answers that expire last come first
 			last = h.keep()
 			size += entryOverhead + len(h.Answer.Body)
 			seen++
--- a/claims/lookup.go
+++ b/claims/lookup.go
@@ -11,55 +11,56 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
-// answerTimeout bounds the wait for an answer held by another node.
+// answerTimeout is the timeout of a call for an answer kept by another node.
 const answerTimeout = 500 * time.Millisecond
 
-// Where answers for repeats were found, as metric labels.
+// Where the answer for a repeated key was found. These are metric label values, of which
+// "heir" stands for a successor.
 const (
-	foundHere = "here"
-	foundPeer = "peer"
-	foundHeir = "heir"
-	foundGone = "gone"
+	foundHere      = "here"
+	foundPeer      = "peer"
+	foundSuccessor = "heir"
+	foundNone      = "gone"
 )
 
-// fetchAnswer looks for the answer of a request that another attempt ran; nil
-// if it is no longer held.
+// fetchAnswer returns the answer of a request that another attempt ran, or nil if no node
+// that was asked keeps it.
 func (s *Service) fetchAnswer(ctx context.Context, h core.Holder, p answerParams) *Answer {
 	ans, found := s.findAnswer(ctx, h, p)
 	s.metrics.answers.WithLabelValues(found).Inc()
 	return ans
 }
 
-// findAnswer asks the node that held the claim. If that is gone, gives no reply
-// or runs anew, it asks the heirs.
+// findAnswer asks the node that held the claim. If that node is gone, doesn't reply or was
+// restarted, it asks the successors. found is a metric label value.
 func (s *Service) findAnswer(ctx context.Context, h core.Holder, p answerParams) (ans *Answer, found string) {
 	if h == s.self {
-		return nil, foundGone
+		return nil, foundNone
 	}
-	if n, ok := s.duties.view.View().Node(h.Node); ok && n.ID != s.self.Node {
+	if n, ok := s.selector.view.View().Node(h.Node); ok && n.ID != s.self.Node {
 		r, err := s.callAnswer(ctx, n, p)
 		switch {
 		case err == nil && r.Answer != nil:
 			return r.Answer, foundPeer
 		case err == nil && r.Incarnation == h.Incarnation:
-			return nil, foundGone
+			return nil, foundNone
 		}
 	}
-	if ans := s.askHeirs(ctx, p); ans != nil {
-		return ans, foundHeir
+	if ans := s.askSuccessors(ctx, p); ans != nil {
+		return ans, foundSuccessor
 	}
-	return nil, foundGone
+	return nil, foundNone
 }
 
-// askHeirs asks all nodes that may have inherited an answer at once; one that
-// leaves has it until it stops.
-func (s *Service) askHeirs(ctx context.Context, p answerParams) *Answer {
+// askSuccessors asks all nodes that may have inherited an answer concurrently. These
+// include leaving nodes, which keep their answers until they stop.
+func (s *Service) askSuccessors(ctx context.Context, p answerParams) *Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ranked := newRanking(s.duties.view.View(), membership.Leaving)
-	heirs := ranked.heirs(answerGroup(p.Key), s.self.Node)
-	replies := make(chan *Answer, len(heirs))
-	for _, n := range heirs {
+	ranked := newRanking(s.selector.view.View(), membership.Leaving)
+	successors := ranked.successors(answerGroup(p.Key), s.self.Node)
+	replies := make(chan *Answer, len(successors))
+	for _, n := range successors {
 		go func() {
 			r, err := s.callAnswer(ctx, n, p)
 			if err != nil {
@@ -68,7 +69,7 @@
 			replies <- r.Answer
 		}()
 	}
-	for range heirs {
+	for range successors {
 		if ans := <-replies; ans != nil {
 			return ans
 		}
--- a/claims/messages.go
+++ b/claims/messages.go
@@ -8,7 +8,7 @@
 	"github.com/knapweedgw/knapweedgw/peer"
 )
 
-// Peers carries calls between nodes.
+// Peers makes and serves calls between nodes.
 type Peers interface {
 	Handle(method string, f peer.Handler)
 	Call(ctx context.Context, addr, method string, params, result any) error
@@ -22,61 +22,64 @@
 	methodInherit = "claims.inherit"
 )
 
-// claimParams asks an owner for a claim; the result is a core.Reply.
+// claimParams is the request to an owner for a claim; the result is a core.Reply.
 type claimParams struct {
 	Ask core.Ask `json:"ask"`
-	// WaitMillis is how long the reply is waited for.
+	// WaitMillis is the time within which the owner has to reply, in milliseconds.
 	WaitMillis int64 `json:"wait_ms"`
 }
 
 func (p claimParams) wait() time.Duration { return time.Duration(p.WaitMillis) * time.Millisecond }
 
-// endParams tells an owner the outcomes of attempts of one shard.
+// endParams is the request to an owner to record outcomes of attempts of one shard.
 type endParams struct {
 	Shard int        `json:"shard"`
 	Ends  []core.End `json:"ends"`
 }
 
-// endResult says whether all outcomes are recorded.
+// endResult is the result of an endParams request. Recorded is true if all outcomes are
+// recorded.
 type endResult struct {
 	Recorded bool `json:"recorded"`
 }
 
-// answerParams asks a node that ran a request, or may have inherited its
-// answer, for it.
+// answerParams is the request for a kept answer, sent to a node that ran the request or
+// may have inherited the answer.
 type answerParams struct {
 	Key         core.KeyID  `json:"key"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 }
 
-// answerResult carries the answer, nil if it is no longer held.
+// answerResult is the result of an answerParams request. Answer is nil if the node doesn't
+// keep it.
 type answerResult struct {
 	Answer *Answer `json:"answer,omitempty"`
-	// Incarnation is that of the node asked.
+	// Incarnation is the incarnation of the replying node.
 	Incarnation int64 `json:"incarnation"`
 }
 
-// handedAnswer is an answer that a node hands over when it stops.
-type handedAnswer struct {
+// handedOverAnswer is an answer that a node hands over to a successor when it stops.
+type handedOverAnswer struct {
 	Key         core.KeyID  `json:"key"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Answer      *Answer     `json:"answer"`
-	// KeepMillis is for how long it is still to be kept.
+	// KeepMillis is the time until the answer expires, in milliseconds.
 	KeepMillis int64 `json:"keep_ms"`
 }
 
-func newHandedAnswer(now core.Instant, h heldAnswer) handedAnswer {
-	return handedAnswer{h.key, h.fingerprint, h.answer, (h.until - now).Milliseconds()}
+func newHandedOverAnswer(now core.Instant, h heldAnswer) handedOverAnswer {
+	return handedOverAnswer{h.key, h.fingerprint, h.answer, (h.expiresAt - now).Milliseconds()}
 }
 
-func (h handedAnswer) keep() time.Duration { return time.Duration(h.KeepMillis) * time.Millisecond }
+func (h handedOverAnswer) keep() time.Duration { return time.Duration(h.KeepMillis) * time.Millisecond }
 
-// inheritParams asks a node to keep answers of one that stops.
+// inheritParams is the request of a stopping node to a successor to keep its answers.
 type inheritParams struct {
-	Answers []handedAnswer `json:"answers"`
+	Answers []handedOverAnswer `json:"answers"`
 }
 
-// inheritResult says whether the node took them; false means that it stops too.
+// inheritResult is the result of an inheritParams request. Kept is false if the successor
+// is stopping, too, and keeps none of the answers.
 type inheritResult struct {
 	Kept bool `json:"kept"`
 }
--- a/claims/metrics.go
+++ b/claims/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// Reasons of refusals and of asking another owner, as metric labels.
+// Reasons of refusals and of retried calls. They are metric label values.
 const (
 	reasonStore       = "store_unavailable"
 	reasonExpired     = "owner_busy"
@@ -20,6 +20,7 @@
 	reasonStopping    = "heir_stopping"
 )
 
+// stateNames holds the metric label values of the states.
 var stateNames = map[State]string{
 	Granted: "granted", InProgress: "in_progress", Done: "done", Unknown: "unknown", Mismatch: "mismatch",
 }
@@ -62,7 +63,7 @@
 	}
 }
 
-// addCounts adds what a shard counted since the last call.
+// addCounts adds the difference between two counts of a shard to the metrics.
 func (m *metrics) addCounts(now, last core.Counts) {
 	add := func(v *prometheus.CounterVec, label string, n int) { v.WithLabelValues(label).Add(float64(n)) }
 	add(m.store, "commit", now.Commits-last.Commits)
--- a/claims/owner.go
+++ b/claims/owner.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	// storeTimeout bounds one call to the store.
+	// storeTimeout is the timeout of one call to the store.
 	storeTimeout = 1500 * time.Millisecond
-	// idleLimit is the time without requests after which an owner forgets its
-	// table.
+	// idleLimit is the time without requests after which an owner drops its table,
+	// unless it is the primary owner.
 	idleLimit = time.Minute
-	// dutyPoll is how often an idle node looks whether it became the owner.
-	dutyPoll = time.Second
+	// primaryPoll is how often an idle owner checks whether it is now the primary owner.
+	primaryPoll = time.Second
 )
 
-// owner runs one core.Shard: it passes requests in, takes its steps on the
-// store and passes the replies out.
+// owner runs one core.Shard: it queues requests, executes the steps on the store and
+// delivers the replies. Each node has an owner for every shard.
 type owner struct {
-	number  int
-	cfg     core.Config
-	alive   core.Liveness
-	onDuty  func(shard int) bool
-	store   store.Store
-	metrics *metrics
-	log     *log.Logger
-	now     func() core.Instant
+	number    int
+	cfg       core.Config
+	alive     core.Liveness
+	isPrimary func(shard int) bool
+	store     store.Store
+	metrics   *metrics
+	log       *log.Logger
+	now       func() core.Instant
 
 	wake chan struct{}
 
-	mu    sync.Mutex
-	inbox []func(*core.Shard)
-	refs  core.Ref
-	waits map[core.Ref]chan<- core.Reply
+	mu      sync.Mutex
+	inbox   []func(*core.Shard)
+	lastRef core.Ref
+	pending map[core.Ref]chan<- core.Reply
 
-	// Used by run only.
-	shard  *core.Shard
-	seen   core.Counts
-	usedAt core.Instant
-	// failing is set from a failed call to the store to the next that succeeds.
+	// The fields below are used only by the goroutine of run.
+	shard    *core.Shard
+	reported core.Counts
+	usedAt   core.Instant
+	// failing is true from a failed call to the store until the next successful one.
 	failing bool
 }
 
 func (o *owner) ask(ctx context.Context, a core.Ask, wait time.Duration) (core.Reply, error) {
-	return o.do(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.Ask(now, ref, a, now+wait) })
+	return o.submit(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.Ask(now, ref, a, now+wait) })
 }
 
 func (o *owner) end(ctx context.Context, e core.End, wait time.Duration) (core.Reply, error) {
-	return o.do(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.End(now, ref, e, now+wait) })
+	return o.submit(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.End(now, ref, e, now+wait) })
 }
 
-func (o *owner) do(ctx context.Context, enqueue func(*core.Shard, core.Instant, core.Ref)) (core.Reply, error) {
+func (o *owner) submit(ctx context.Context, enqueue func(*core.Shard, core.Instant, core.Ref)) (core.Reply, error) {
 	reply := make(chan core.Reply, 1)
 	now := o.now()
 	o.mu.Lock()
-	o.refs++
-	ref := o.refs
-	o.waits[ref] = reply
+	o.lastRef++
+	ref := o.lastRef
+	o.pending[ref] = reply
 	o.inbox = append(o.inbox, func(s *core.Shard) { enqueue(s, now, ref) })
 	o.mu.Unlock()
-	o.nudge()
+	o.wakeUp()
 	select {
 	case r := <-reply:
 		return r, nil
@@ -75,21 +75,21 @@
 	}
 }
 
-func (o *owner) nudge() {
+func (o *owner) wakeUp() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run takes the shard's steps until ctx ends.
+// run executes the steps of the shard until ctx ends.
 func (o *owner) run(ctx context.Context) {
-	o.forget()
+	o.resetShard()
 	for ctx.Err() == nil {
-		o.drain()
-		o.shard.SetDuty(o.onDuty(o.number))
+		o.processInbox()
+		o.shard.SetDuty(o.isPrimary(o.number))
 		step := o.shard.Next(o.now())
-		o.deliver()
+		o.sendReplies()
 		switch step.Kind {
 		case core.StepWait:
 			o.wait(ctx, step.Until)
@@ -101,12 +101,12 @@
 	}
 }
 
-func (o *owner) forget() {
+func (o *owner) resetShard() {
 	o.shard = core.NewShard(o.number, o.cfg, o.alive)
-	o.seen = core.Counts{}
+	o.reported = core.Counts{}
 }
 
-func (o *owner) drain() {
+func (o *owner) processInbox() {
 	o.mu.Lock()
 	inbox := o.inbox
 	o.inbox = nil
@@ -116,24 +116,24 @@
 	}
 }
 
-func (o *owner) deliver() {
-	o.metrics.addCounts(o.shard.Counts, o.seen)
-	o.seen = o.shard.Counts
+func (o *owner) sendReplies() {
+	o.metrics.addCounts(o.shard.Counts, o.reported)
+	o.reported = o.shard.Counts
 	keys, _ := o.shard.Len()
 	o.metrics.keys.WithLabelValues(strconv.Itoa(o.number)).Set(float64(keys))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, a := range o.shard.Replies() {
-		o.waits[a.Ref] <- a.Reply
-		delete(o.waits, a.Ref)
+		o.pending[a.Ref] <- a.Reply
+		delete(o.pending, a.Ref)
 	}
 }
 
-// wait returns when a request arrives, at the given time, or when it is time
-// to look at the duty again. A node that is not the owner drops an idle table;
-// it reads it again when asked.
+// wait returns when a request arrives, at the given time, or after primaryPoll. It drops
+// the table of a shard that has been idle for idleLimit if the Shard has no further step
+// planned, as on a node that is not the primary owner. The next request reads it again.
 func (o *owner) wait(ctx context.Context, until core.Instant) {
-	timer := time.NewTimer(min(until-o.now(), dutyPoll))
+	timer := time.NewTimer(min(until-o.now(), primaryPoll))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -143,65 +143,66 @@
 	}
 	keys, _ := o.shard.Len()
 	if keys > 0 && until == core.Forever && o.now()-o.usedAt > idleLimit {
-		o.forget()
+		o.resetShard()
 	}
 }
 
 func (o *owner) read(ctx context.Context, prefix string) {
-	o.await(func() func() {
+	o.callStore(func() func() {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		page, err := o.store.List(ctx, prefix)
 		return func() {
-			o.noteStore(err)
+			o.logStoreState(err)
 			o.shard.Loaded(o.now(), page, err)
 		}
 	})
 }
 
 func (o *owner) commit(ctx context.Context, t store.Txn) {
-	o.await(func() func() {
+	o.callStore(func() func() {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		revision, ok, err := o.store.Commit(ctx, t)
 		return func() {
-			o.noteStore(err)
+			o.logStoreState(err)
 			o.shard.Committed(o.now(), revision, ok, err)
 		}
 	})
 }
 
-// await makes a call to the store and passes its result on. Requests whose
-// time is over meanwhile are refused in time.
-func (o *owner) await(call func() (pass func())) {
+// callStore runs call, which calls the store, in a new goroutine, and then the function
+// that it returns, which passes the result to the shard. Until then it accepts requests
+// and refuses those that expire.
+func (o *owner) callStore(call func() (deliver func())) {
 	result := make(chan func(), 1)
 	go func() { result <- call() }()
 	for {
 		timer := time.NewTimer(o.shard.NextExpiry() - o.now())
 		select {
-		case pass := <-result:
+		case deliver := <-result:
 			timer.Stop()
-			pass()
+			deliver()
 			return
 		case <-o.wake:
 			o.usedAt = o.now()
-			o.drain()
+			o.processInbox()
 		case <-timer.C:
 			o.shard.Expire(o.now())
-			o.deliver()
+			o.sendReplies()
 		}
 		timer.Stop()
 	}
 }
 
-// noteStore logs the first failed call to the store, and the first that
-// succeeds again.
-func (o *owner) noteStore(err error) {
+// logStoreState logs the first failed call to the store, and the first successful call
+// after that.
+func (o *owner) logStoreState(err error) {
 	switch {
 	case err != nil && !o.failing:
-		o.log.Warn("claims: the store fails; keyed requests are refused", "shard", o.number, "err", err)
+		o.log.Warn("claims: calls to the store fail; requests with an Idempotency-Key are refused", "shard", o.number, "err", err)
 	case err == nil && o.failing:
-		o.log.Info("claims: the store answers again", "shard", o.number)
+		o.log.Info("claims: calls to the store succeed again", "shard", o.number)
 	}
 	o.failing = err != nil
 }
--- a/claims/service.go
+++ b/claims/service.go
@@ -17,7 +17,7 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Settings are the limits of a Service.
+// Settings holds the limits of a Service.
 type Settings struct {
 	Shard   core.Config
 	Attempt core.AttemptLimits
@@ -35,13 +35,13 @@
 	}
 }
 
-// Service is a Claimer. It asks the owners of the shards, and serves as the
-// owner of any shard that it is asked for.
+// Service implements Claimer. It asks the owners of the shards for claims, and acts as an
+// owner of any shard that other nodes ask it for.
 type Service struct {
 	settings Settings
 	self     core.Holder
 	peers    Peers
-	duties   *duties
+	selector *ownerSelector
 	answers  *answers
 	metrics  *metrics
 	log      *log.Logger
@@ -60,8 +60,8 @@
 	_ kernel.Stopper = (*Service)(nil)
 )
 
-// NewService returns a service for the given run of a node, and registers its
-// methods with peers.
+// NewService returns a service for the node process self, and registers its methods with
+// peers.
 func NewService(
 	self core.Holder, set Settings, st store.Store, peers Peers, view membership.Source,
 	l *log.Logger, reg prometheus.Registerer,
@@ -76,14 +76,14 @@
 		ends:     core.NewEnds(set.Ends),
 		wake:     make(chan struct{}, 1),
 	}
-	s.duties = newDuties(view, s.now)
+	s.selector = newOwnerSelector(view, s.now)
 	s.answers = newAnswers(set.Answers, set.Shard.Retention, func(origin string) {
 		s.metrics.evicted.WithLabelValues(origin).Inc()
 	})
 	for i := range s.owners {
 		s.owners[i] = &owner{
-			number: i, cfg: set.Shard, alive: s.duties.alive, onDuty: s.onDuty, store: st,
-			metrics: s.metrics, log: l, now: s.now, wake: make(chan struct{}, 1), waits: make(map[core.Ref]chan<- core.Reply),
+			number: i, cfg: set.Shard, alive: s.selector.alive, isPrimary: s.isPrimary, store: st,
+			metrics: s.metrics, log: l, now: s.now, wake: make(chan struct{}, 1), pending: make(map[core.Ref]chan<- core.Reply),
 		}
 	}
 	peers.Handle(methodClaim, s.handleClaim)
@@ -96,19 +96,20 @@
 // ID implements kernel.Service.
 func (s *Service) ID() kernel.ID { return ServiceID }
 
-// now is the monotonic time since the service was made.
+// now returns the monotonic time since NewService.
 func (s *Service) now() core.Instant { return time.Since(s.start) }
 
-// dutyDelay is the time after the start in which a node reads no shard unless
-// it is asked: it may not know the other nodes yet.
-const dutyDelay = 10 * time.Second
+// primaryDelay is the time after NewService in which this node doesn't consider itself a
+// primary owner, and so reads a shard only for a request: its membership view may not
+// include the other nodes yet.
+const primaryDelay = 10 * time.Second
 
-// onDuty says whether this node is the first to be asked for a shard.
-func (s *Service) onDuty(shard int) bool {
-	if s.now() < dutyDelay {
+// isPrimary reports whether this node is the primary owner of a shard.
+func (s *Service) isPrimary(shard int) bool {
+	if s.now() < primaryDelay {
 		return false
 	}
-	n, ok := s.duties.first(shard)
+	n, ok := s.selector.primary(shard)
 	return ok && n.ID == s.self.Node
 }
 
@@ -121,18 +122,18 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: this node inherits nothing more, and goes on
-// serving.
+// Drain implements kernel.Drainer. The service inherits no more answers, but continues to
+// serve.
 func (s *Service) Drain(context.Context) error {
 	s.answers.close()
 	return nil
 }
 
-// Stop implements kernel.Stopper: for flushLimit at most it hands the kept
-// answers to other nodes and waits until every outcome is recorded. What is
-// left then stays open in the log, which other nodes report as unknown.
+// Stop implements kernel.Stopper. It hands the kept answers over to other nodes and waits
+// until every outcome is recorded, for at most stopTimeout. Claims whose outcomes are not
+// recorded by then stay open in the log and are reported as Unknown by other nodes.
 func (s *Service) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, flushLimit)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	var handover sync.WaitGroup
 	handover.Go(func() { s.handOver(ctx) })
@@ -140,17 +141,17 @@
 	for s.pending() > 0 {
 		select {
 		case <-ctx.Done():
-			s.log.Warn("claims: stopped with outcomes that are not recorded; their keys stay unknown", "outcomes", s.pending())
+			s.log.Warn("claims: stopped with outcomes that are not recorded; the state of their keys stays unknown", "outcomes", s.pending())
 			return nil
-		case <-time.After(flushPoll):
+		case <-time.After(stopPoll):
 		}
 	}
 	return nil
 }
 
 const (
-	flushLimit = 10 * time.Second
-	flushPoll  = 20 * time.Millisecond
+	stopTimeout = 10 * time.Second
+	stopPoll    = 20 * time.Millisecond
 )
 
 func (s *Service) pending() int {
@@ -175,7 +176,7 @@
 	if p.Shard < 0 || p.Shard >= core.Shards {
 		return nil, errors.Newf("%s: no shard %d; run the same version on all nodes", methodEnd, p.Shard)
 	}
-	return endResult{Recorded: s.record(ctx, p.Shard, p.Ends)}, nil
+	return endResult{Recorded: s.recordAsOwner(ctx, p.Shard, p.Ends)}, nil
 }
 
 // jitter returns a duration in [d, 2d).
--- a/claims/ticket.go
+++ b/claims/ticket.go
@@ -7,11 +7,11 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// ticket is a Ticket. It may be used by several goroutines.
+// ticket implements Ticket. It is safe for concurrent use.
 type ticket struct {
 	service *Service
-	// startedWall is the wall-clock start of the attempt: a node that is
-	// suspended may find its monotonic clock unchanged.
+	// startedWall is the start of the attempt by the wall clock. It is needed because
+	// the monotonic clock may stand still while the VM is suspended.
 	startedWall time.Time
 
 	mu      sync.Mutex
@@ -37,5 +37,5 @@
 	if o == Ran {
 		t.service.answers.put(t.service.now(), e.Key, t.attempt.Ask.Fingerprint, answer)
 	}
-	t.service.push(e)
+	t.service.queueEnd(e)
 }
