--- a/claims/core/batch.go
+++ b/claims/core/batch.go
@@ -79,7 +79,7 @@
 }
 
 // fresh reports whether the table was read after the request arrived, or at most
-// MaxStateAge ago.
+// MaxStateAge ago, and no commit has failed since in a way that calls for another read.
 func (s *Shard) fresh(now Instant, r request) bool {
 	return !s.stale && (r.arrived <= s.syncedAt || now-s.syncedAt <= s.cfg.MaxStateAge)
 }
