--- a/targets/metrics.go
+++ b/targets/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// The sources of words.
+// Values of the label source: where a leaving report came from.
 const (
 	sourceList   = "list"
 	sourceAnswer = "answer"
@@ -15,7 +15,7 @@
 
 type metrics struct {
 	reads   *prometheus.CounterVec
-	words   *prometheus.CounterVec
+	reports *prometheus.CounterVec
 	version prometheus.Gauge
 	count   *prometheus.GaugeVec
 }
@@ -25,7 +25,7 @@
 	return &metrics{
 		reads: f.Counters("list_reads_total",
 			"Reads of the VM list, by result: new, same, stale (older than known) or failed.", "result"),
-		words: f.Counters("leaving_words_total",
+		reports: f.Counters("leaving_words_total",
 			"Targets first heard to be leaving, by source: list, answer or peer.", "source"),
 		version: f.Gauge("list_version", "Version of the VM list in force."),
 		count: f.Gauges("known",
@@ -33,6 +33,7 @@
 	}
 }
 
+// observe sets the gauge of known targets from a snapshot.
 func (m *metrics) observe(s *Snapshot) {
 	live, leaving := 0, 0
 	for _, pool := range s.Pools {
--- a/targets/snapshot.go
+++ b/targets/snapshot.go
@@ -19,65 +19,68 @@
 	Region        string
 	Incarnation   int64
 	Capacity      int
-	// Leaving says that the target gets no new work: it leaves, or it is
-	// held down because it came and went too often.
+	// Leaving means that the target gets no new requests: it is shutting down, or
+	// it is held down because it came and went too often.
 	Leaving bool
 }
 
 // Snapshot is an immutable view of all targets. Pools are ordered by ID.
 type Snapshot struct {
-	// Version is that of the VM list. Snapshots of the same version differ
-	// when a target was found to be leaving by other means.
+	// Version is the version of the VM list. Two snapshots of the same version
+	// may differ, since a target's own responses and other nodes also report that
+	// a target is leaving.
 	Version int64
 	Pools   map[string][]Target
 }
 
-// Pool returns the targets of a pool, the leaving ones included.
+// Pool returns the targets of a pool, including those that are leaving.
 func (s *Snapshot) Pool(name string) []Target { return s.Pools[name] }
 
-// maxHeldShare is the part of a pool that may be held down at a time, so that
-// a list that flaps as a whole does not leave a pool without targets.
-const maxHeldShare = 4 // one in four
+// maxHeldDivisor limits the targets of a pool that are held down at a time to one
+// in four, so that a VM list in which all targets flap does not leave a pool
+// without targets.
+const maxHeldDivisor = 4
 
-// build makes the snapshot of a list, given what is known besides. It also
-// returns when the first hold of the snapshot ends, zero for none.
-func build(list vmlist.List, b *book, d *damping.Damper, now time.Time) (*Snapshot, time.Time) {
+// build returns the snapshot of a VM list merged with the leaving records, and the
+// end of the hold that ends first; zero if no target is held down.
+func build(list vmlist.List, records *leavingRecords, d *damping.Damper, now time.Time) (*Snapshot, time.Time) {
 	s := &Snapshot{Version: list.Version, Pools: make(map[string][]Target)}
 	for _, vm := range list.VMs {
 		if vm.Role == vmlist.RoleNode {
 			continue
 		}
-		s.Pools[vm.Pool] = append(s.Pools[vm.Pool], fromVM(vm, b))
+		s.Pools[vm.Pool] = append(s.Pools[vm.Pool], fromVM(vm, records))
 	}
-	var next time.Time
+	var firstEnd time.Time
 	for _, pool := range s.Pools {
 		slices.SortFunc(pool, func(a, b Target) int { return strings.Compare(a.ID, b.ID) })
-		for _, end := range hold(pool, d, now) {
-			if next.IsZero() || end.Before(next) {
-				next = end
+		for _, end := range markHeld(pool, d, now) {
+			if firstEnd.IsZero() || end.Before(firstEnd) {
+				firstEnd = end
 			}
 		}
 	}
-	return s, next
+	return s, firstEnd
 }
 
-func fromVM(vm vmlist.VM, b *book) Target {
-	w := b.judge(wordOf(vm))
+func fromVM(vm vmlist.VM, records *leavingRecords) Target {
+	merged := records.merge(reportFromVM(vm))
 	return Target{
 		ID: vm.ID, Addr: vm.Addr, Pool: vm.Pool, Role: vm.Role,
 		FailureDomain: vm.FailureDomain, Region: vm.Region,
 		Incarnation: vm.Incarnation, Capacity: max(vm.Capacity, 1),
-		Leaving: w.Leaving,
+		Leaving: merged.Leaving,
 	}
 }
 
-func wordOf(vm vmlist.VM) Word {
+func reportFromVM(vm vmlist.VM) Word {
 	return Word{Target: vm.ID, Incarnation: vm.Incarnation, Leaving: vm.State == vmlist.StateLeaving}
 }
 
-// hold marks the targets of a pool that are held down, the longest holds
-// first, and returns when their holds end.
-func hold(pool []Target, d *damping.Damper, now time.Time) []time.Time {
+// markHeld marks the held-down targets of a pool as leaving, up to the share that
+// maxHeldDivisor allows and those held longest first. It returns when their holds
+// end.
+func markHeld(pool []Target, d *damping.Damper, now time.Time) []time.Time {
 	var held []int
 	for i, t := range pool {
 		if !t.Leaving && d.Held(t.ID, now) {
@@ -87,11 +90,11 @@
 	slices.SortStableFunc(held, func(a, b int) int {
 		return d.HeldUntil(pool[b].ID).Compare(d.HeldUntil(pool[a].ID))
 	})
-	held = held[:min(len(held), len(pool)/maxHeldShare)]
+	held = held[:min(len(held), len(pool)/maxHeldDivisor)]
 	ends := make([]time.Time, len(held))
-	for i, t := range held {
-		pool[t].Leaving = true
-		ends[i] = d.HeldUntil(pool[t].ID)
+	for i, index := range held {
+		pool[index].Leaving = true
+		ends[i] = d.HeldUntil(pool[index].ID)
 	}
 	return ends
 }
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -1,6 +1,6 @@
 // Package targets keeps the node's view of the engines and plain services it
-// may route to, as immutable snapshots. The view is that of the newest VM list,
-// corrected by what targets say of themselves and by other nodes' words.
+// may route to, as immutable snapshots. The view is the newest VM list, merged with
+// what targets report about themselves and what other nodes report about them.
 package targets
 
 import (
@@ -21,7 +21,8 @@
 // ServiceID is the kernel name of the Registry.
 const ServiceID kernel.ID = "targets.registry"
 
-// Registry polls the VM list, takes words on targets and publishes snapshots.
+// Registry polls the VM list, collects reports about targets and publishes
+// snapshots.
 type Registry struct {
 	source   vmlist.Source
 	interval time.Duration
@@ -30,17 +31,19 @@
 	metrics  *metrics
 	snap     atomic.Pointer[Snapshot]
 
-	mu        sync.Mutex
-	list      vmlist.List
-	applied   bool // a list is in force
-	book      *book
-	damper    *damping.Damper
-	nextHold  time.Time // when the snapshot's first hold ends; zero for none
-	listeners []func(vmlist.List)
-	leaving   []func(Word)
+	mu      sync.Mutex
+	list    vmlist.List
+	applied bool // whether a list has been applied
+	records *leavingRecords
+	damper  *damping.Damper
+	// firstHoldEnd is the end of the snapshot's hold that ends first; zero if no
+	// target is held down.
+	firstHoldEnd time.Time
+	onList       []func(vmlist.List)
+	onLeaving    []func(Word)
 }
 
-// Option changes a Registry at its creation.
+// Option configures a Registry.
 type Option func(*Registry)
 
 // WithMetrics registers the registry's metrics with reg.
@@ -48,7 +51,8 @@
 	return func(r *Registry) { r.metrics = newMetrics(reg) }
 }
 
-// WithDamping sets when targets that come and go are held down.
+// WithDamping sets when targets that come and go too often are held down, and for
+// how long.
 func WithDamping(cfg damping.Config) Option {
 	return func(r *Registry) { r.damper = damping.New(cfg) }
 }
@@ -62,7 +66,7 @@
 func NewRegistry(source vmlist.Source, interval time.Duration, l *log.Logger, opts ...Option) *Registry {
 	r := &Registry{
 		source: source, interval: interval, log: l, now: time.Now,
-		book: newBook(), damper: damping.New(damping.DefaultConfig()),
+		records: newLeavingRecords(), damper: damping.New(damping.DefaultConfig()),
 	}
 	for _, opt := range opts {
 		opt(r)
@@ -77,20 +81,20 @@
 // ID implements kernel.Service.
 func (r *Registry) ID() kernel.ID { return ServiceID }
 
-// Snapshot returns the current view. It never blocks.
+// Snapshot returns the current snapshot. It never blocks.
 func (r *Registry) Snapshot() *Snapshot { return r.snap.Load() }
 
-// OnList calls f with each newer VM list read after the call. It must be
-// called before Start; f must not call the registry.
-func (r *Registry) OnList(f func(vmlist.List)) { r.listeners = append(r.listeners, f) }
+// OnList registers f to be called with each newer VM list read after the call. It
+// must be called before Start; f must not call the registry.
+func (r *Registry) OnList(f func(vmlist.List)) { r.onList = append(r.onList, f) }
 
-// OnLeaving calls f with each leaving word when it is first learnt, from
-// whatever source. It must be called before Start; f must not call the
+// OnLeaving registers f to be called with each leaving report that is new to this
+// node, whatever its source. It must be called before Start; f must not call the
 // registry.
-func (r *Registry) OnLeaving(f func(Word)) { r.leaving = append(r.leaving, f) }
+func (r *Registry) OnLeaving(f func(Word)) { r.onLeaving = append(r.onLeaving, f) }
 
-// Start implements kernel.Starter. It reads the list once before it returns;
-// a failed read is logged and tried again.
+// Start implements kernel.Starter. It reads the VM list once before it returns; a
+// failed read is logged and retried after the interval.
 func (r *Registry) Start(ctx context.Context) error {
 	r.poll(ctx)
 	go pause.Every(ctx, r.interval, r.poll)
@@ -101,15 +105,15 @@
 	list, err := r.source.Fetch(ctx)
 	if err != nil {
 		r.metrics.reads.WithLabelValues("failed").Inc()
-		r.log.Warn("vm list not read; the last one stays in force", "err", err)
-		r.endHolds()
+		r.log.Warn("cannot read the VM list; the last one stays in use", "err", err)
+		r.publishEndedHolds()
 		return
 	}
 	r.Apply(list)
-	r.endHolds()
+	r.publishEndedHolds()
 }
 
-// Apply publishes a VM list unless the same or a newer one is in force.
+// Apply publishes a VM list unless the same or a newer one is already in use.
 func (r *Registry) Apply(list vmlist.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,98 +123,103 @@
 	}
 	r.metrics.reads.WithLabelValues("new").Inc()
 	r.metrics.version.Set(float64(list.Version))
-	r.countDepartures(list)
+	r.recordDepartures(list)
 	r.list, r.applied = list, true
 	for _, vm := range list.VMs {
 		if vm.Role != vmlist.RoleNode {
-			r.learn(wordOf(vm), sourceList)
+			r.record(reportFromVM(vm), sourceList)
 		}
 	}
-	r.book.prune(listed(list), maxUnlisted)
+	r.records.prune(listedIDs(list), maxUnlisted)
 	r.publish()
-	for _, f := range r.listeners {
+	for _, f := range r.onList {
 		f(list)
 	}
 }
 
-// ObserveLeaving records that a target said of itself that it is leaving.
-// incarnation is that of the snapshot by which the target was chosen.
+// ObserveLeaving records that a target's own response reported it as leaving.
+// incarnation is the target's incarnation in the snapshot from which it was chosen.
 func (r *Registry) ObserveLeaving(target string, incarnation int64) {
-	r.observe(sourceAnswer, Word{Target: target, Incarnation: incarnation, Leaving: true})
+	r.recordAll(sourceAnswer, Word{Target: target, Incarnation: incarnation, Leaving: true})
 }
 
-// Learn records other nodes' words.
-func (r *Registry) Learn(words ...Word) { r.observe(sourcePeer, words...) }
+// Learn records leaving reports received from other nodes.
+func (r *Registry) Learn(reports ...Word) { r.recordAll(sourcePeer, reports...) }
 
-// Leaving returns the leaving words known, ordered by target.
+// Leaving returns all leaving reports kept, ordered by target.
 func (r *Registry) Leaving() []Word {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.book.words()
+	return r.records.reports()
 }
 
-func (r *Registry) observe(source string, words ...Word) {
+// recordAll records reports and publishes a new snapshot if one of them was new.
+func (r *Registry) recordAll(source string, reports ...Word) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := false
-	for _, w := range words {
-		news = r.learn(w, source) || news
+	changed := false
+	for _, report := range reports {
+		changed = r.record(report, source) || changed
 	}
-	if news {
+	if changed {
 		r.publish()
 	}
 }
 
-// learn records a word and, if it is news, passes it on.
-func (r *Registry) learn(w Word, source string) bool {
-	if !r.book.learn(w) {
+// record records a report and returns whether it was new; if so it calls the
+// OnLeaving functions. The lock must be held.
+func (r *Registry) record(report Word, source string) bool {
+	if !r.records.add(report) {
 		return false
 	}
-	r.metrics.words.WithLabelValues(source).Inc()
-	r.log.Info("target is leaving", "target", w.Target, "incarnation", w.Incarnation, "source", source)
-	for _, f := range r.leaving {
-		f(w)
+	r.metrics.reports.WithLabelValues(source).Inc()
+	r.log.Info("target is leaving", "target", report.Target, "incarnation", report.Incarnation, "source", source)
+	for _, f := range r.onLeaving {
+		f(report)
 	}
 	return true
 }
 
-// publish replaces the snapshot.
+// publish builds and stores a new snapshot. The lock must be held.
 func (r *Registry) publish() {
 	now := r.now()
 	r.damper.Prune(now)
-	s, next := build(r.list, r.book, r.damper, now)
-	r.nextHold = next
+	s, firstEnd := build(r.list, r.records, r.damper, now)
+	r.firstHoldEnd = firstEnd
 	r.metrics.observe(s)
 	r.snap.Store(s)
 }
 
-// endHolds publishes a new snapshot once a hold of the current one has ended.
-func (r *Registry) endHolds() {
+// publishEndedHolds publishes a new snapshot once a hold of the current one has ended.
+func (r *Registry) publishEndedHolds() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.nextHold.IsZero() && !r.nextHold.After(r.now()) {
+	if !r.firstHoldEnd.IsZero() && !r.firstHoldEnd.After(r.now()) {
 		r.publish()
 	}
 }
 
-// countDepartures tells the damper which targets list takes away or replaces.
-func (r *Registry) countDepartures(list vmlist.List) {
-	after := make(map[string]vmlist.VM, len(list.VMs))
+// recordDepartures passes to the damper each target that was live in the list in
+// use and that the new list removes, replaces by another incarnation or marks as
+// leaving.
+func (r *Registry) recordDepartures(list vmlist.List) {
+	next := make(map[string]vmlist.VM, len(list.VMs))
 	for _, vm := range list.VMs {
-		after[vm.ID] = vm
+		next[vm.ID] = vm
 	}
 	for _, old := range r.list.VMs {
 		if old.Role == vmlist.RoleNode || old.State == vmlist.StateLeaving {
 			continue
 		}
-		vm, ok := after[old.ID]
+		vm, ok := next[old.ID]
 		if !ok || vm.State == vmlist.StateLeaving || vm.Incarnation != old.Incarnation {
 			r.damper.Depart(old.ID, r.now())
 		}
 	}
 }
 
-func listed(list vmlist.List) map[string]bool {
+// listedIDs returns the IDs of the VMs in a list.
+func listedIDs(list vmlist.List) map[string]bool {
 	ids := make(map[string]bool, len(list.VMs))
 	for _, vm := range list.VMs {
 		ids[vm.ID] = true
@@ -218,6 +227,8 @@
 	return ids
 }
 
+// readResult returns the metric label for a list that is not newer than the current
+// one.
 func readResult(read, current int64) string {
 	if read < current {
 		return "stale"
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -14,7 +14,7 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests set.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
@@ -47,20 +47,20 @@
 		steps []func(*Registry)
 		want  string
 	}{
-		{"the list says live", []func(*Registry){listed(1, engine("e", 1, live))}, "live"},
-		{"the list says leaving", []func(*Registry){listed(1, engine("e", 1, live)), listed(2, engine("e", 1, leaving))}, "leaving"},
-		{"an older list after it", []func(*Registry){listed(2, engine("e", 1, leaving)), listed(1, engine("e", 1, live))}, "leaving"},
-		{"a newer list that says live of the same incarnation", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2, engine("e", 1, live))}, "leaving"},
-		{"a new incarnation revives", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2, engine("e", 2, live))}, "live"},
-		{"its own answer", []func(*Registry){listed(1, engine("e", 1, live)), answer(1)}, "leaving"},
-		{"its own answer, then a lagging list", []func(*Registry){listed(1, engine("e", 1, live)), answer(1), listed(2, engine("e", 1, live))}, "leaving"},
-		{"a peer's word", []func(*Registry){listed(1, engine("e", 1, live)), peer(1)}, "leaving"},
-		{"a peer's word before the list", []func(*Registry){peer(1), listed(1, engine("e", 1, live))}, "leaving"},
-		{"a peer's old word", []func(*Registry){listed(1, engine("e", 2, live)), peer(1)}, "live"},
-		{"a peer knows a newer incarnation to leave", []func(*Registry){listed(1, engine("e", 1, live)), peer(2)}, "leaving"},
-		{"gone from the list", []func(*Registry){listed(1, engine("e", 1, live)), listed(2)}, "gone"},
-		{"an older list doesn't bring it back", []func(*Registry){listed(1, engine("e", 1, live)), listed(3), listed(2, engine("e", 1, live))}, "gone"},
-		{"gone and back as it was when leaving", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2), listed(3, engine("e", 1, live))}, "leaving"},
+		{"listed as live", []func(*Registry){listed(1, engine("e", 1, live))}, "live"},
+		{"listed as leaving", []func(*Registry){listed(1, engine("e", 1, live)), listed(2, engine("e", 1, leaving))}, "leaving"},
+		{"listed as leaving, then an older list", []func(*Registry){listed(2, engine("e", 1, leaving)), listed(1, engine("e", 1, live))}, "leaving"},
+		{"listed as leaving, then a newer list with the same incarnation live", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2, engine("e", 1, live))}, "leaving"},
+		{"a new incarnation is live again", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2, engine("e", 2, live))}, "live"},
+		{"its own response", []func(*Registry){listed(1, engine("e", 1, live)), answer(1)}, "leaving"},
+		{"its own response, then a lagging list", []func(*Registry){listed(1, engine("e", 1, live)), answer(1), listed(2, engine("e", 1, live))}, "leaving"},
+		{"a peer's report", []func(*Registry){listed(1, engine("e", 1, live)), peer(1)}, "leaving"},
+		{"a peer's report before the list", []func(*Registry){peer(1), listed(1, engine("e", 1, live))}, "leaving"},
+		{"a peer's report about an older incarnation", []func(*Registry){listed(1, engine("e", 2, live)), peer(1)}, "live"},
+		{"a peer's report about a newer incarnation", []func(*Registry){listed(1, engine("e", 1, live)), peer(2)}, "leaving"},
+		{"no longer listed", []func(*Registry){listed(1, engine("e", 1, live)), listed(2)}, "gone"},
+		{"no longer listed, then an older list", []func(*Registry){listed(1, engine("e", 1, live)), listed(3), listed(2, engine("e", 1, live))}, "gone"},
+		{"listed as leaving, no longer listed, then live in the same incarnation", []func(*Registry){listed(1, engine("e", 1, leaving)), listed(2), listed(3, engine("e", 1, live))}, "leaving"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,7 +86,8 @@
 	return "gone"
 }
 
-var words = rapid.Custom(func(t *rapid.T) Word {
+// reports generates reports about one target.
+var reports = rapid.Custom(func(t *rapid.T) Word {
 	return Word{
 		Target:      "e",
 		Incarnation: rapid.Int64Range(1, 4).Draw(t, "incarnation"),
@@ -96,55 +97,55 @@
 
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := words.Draw(t, "a"), words.Draw(t, "b"), words.Draw(t, "c")
+		a, b, c := reports.Draw(t, "a"), reports.Draw(t, "b"), reports.Draw(t, "c")
 		if Merge(a, a) != a || Merge(a, b) != Merge(b, a) || Merge(a, Merge(b, c)) != Merge(Merge(a, b), c) {
-			t.Fatalf("not a join: %+v %+v %+v", a, b, c)
+			t.Fatalf("Merge is not commutative, associative and idempotent: %+v %+v %+v", a, b, c)
 		}
-		if m := Merge(a, b); a.Beats(m) || b.Beats(m) {
-			t.Fatal("an input beats the merge")
+		if m := Merge(a, b); a.Supersedes(m) || b.Supersedes(m) {
+			t.Fatal("an input supersedes the merge")
 		}
 	})
 }
 
-// TestNeverRevivedByOldWord feeds lists and words in any order. Once an
-// incarnation was said to leave, by whatever source that was taken in, a
-// snapshot never shows it, or one before it, as live.
+// TestNeverRevivedByOldWord applies lists and reports in any order. Once any source
+// whose report was applied has reported an incarnation as leaving, no snapshot may
+// show it, or an older one, as live.
 func TestNeverRevivedByOldWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, newest, left := newTestRegistry(), int64(-1), int64(0)
+		r, newestVersion, newestLeaving := newTestRegistry(), int64(-1), int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			w := words.Draw(t, "word")
+			report := reports.Draw(t, "report")
 			switch rapid.IntRange(0, 2).Draw(t, "source") {
 			case 0:
 				version := rapid.Int64Range(0, 30).Draw(t, "version")
 				state := vmlist.StateLive
-				if w.Leaving {
+				if report.Leaving {
 					state = vmlist.StateLeaving
 				}
-				r.Apply(list(version, engine("e", w.Incarnation, state)))
-				if version <= newest {
+				r.Apply(list(version, engine("e", report.Incarnation, state)))
+				if version <= newestVersion {
 					continue
 				}
-				newest = version
+				newestVersion = version
 			case 1:
-				r.ObserveLeaving("e", w.Incarnation)
-				w.Leaving = true
+				r.ObserveLeaving("e", report.Incarnation)
+				report.Leaving = true
 			default:
-				r.Learn(w)
+				r.Learn(report)
 			}
-			if w.Leaving {
-				left = max(left, w.Incarnation)
+			if report.Leaving {
+				newestLeaving = max(newestLeaving, report.Incarnation)
 			}
 			for _, target := range r.Snapshot().Pool("p") {
-				if !target.Leaving && target.Incarnation <= left {
-					t.Fatalf("incarnation %d is live, though %d left", target.Incarnation, left)
+				if !target.Leaving && target.Incarnation <= newestLeaving {
+					t.Fatalf("incarnation %d is live, though %d was reported as leaving", target.Incarnation, newestLeaving)
 				}
 			}
 		}
 	})
 }
 
-func TestEachWordIsPassedOnOnce(t *testing.T) {
+func TestOnLeavingIsCalledOncePerReport(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry()
 	var passed []Word
@@ -171,7 +172,7 @@
 	is.Equal(stateOf(r, "e"), "leaving") // held
 	is.Equal(stateOf(r, "a"), "live")
 	c.t = c.t.Add(11 * time.Second)
-	r.endHolds()
+	r.publishEndedHolds()
 	is.Equal(stateOf(r, "e"), "live")
 }
 
@@ -194,16 +195,16 @@
 	is.Equal(held, 2)
 }
 
-func TestBookIsBounded(t *testing.T) {
+func TestLeavingRecordsAreBounded(t *testing.T) {
 	is := is.New(t)
-	b := newBook()
+	l := newLeavingRecords()
 	for i := range 20 {
-		b.learn(Word{Target: fmt.Sprint(i), Incarnation: 1, Leaving: true})
+		l.add(Word{Target: fmt.Sprint(i), Incarnation: 1, Leaving: true})
 	}
-	b.prune(map[string]bool{"0": true, "1": true}, 5)
-	is.Equal(len(b.leaving), 7)
-	is.Equal(len(b.order), 7)
-	is.Equal(b.leaving["0"], int64(1))  // listed ones stay
-	is.Equal(b.leaving["19"], int64(1)) // the oldest go first
-	is.Equal(b.leaving["2"], int64(0))
+	l.prune(map[string]bool{"0": true, "1": true}, 5)
+	is.Equal(len(l.leaving), 7)
+	is.Equal(len(l.order), 7)
+	is.Equal(l.leaving["0"], int64(1))  // listed targets are kept
+	is.Equal(l.leaving["19"], int64(1)) // the oldest are removed first
+	is.Equal(l.leaving["2"], int64(0))
 }
