--- a/vmlist/fuzz_test.go
+++ b/vmlist/fuzz_test.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// answers is a transport that gives one body to every request.
-type answers []byte
+// fixedResponse is a transport that answers every request with the same body.
+type fixedResponse []byte
 
-func (a answers) RoundTrip(*http.Request) (*http.Response, error) {
+func (r fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	h := http.Header{"Etag": {`"1"`}}
-	return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(bytes.NewReader(a))}, nil
+	return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(bytes.NewReader(r))}, nil
 }
 
-// FuzzFetch feeds the decoder of the list: a fault is an error and leaves
-// nothing behind, and a list survives being encoded and fetched again.
+// FuzzFetch checks the decoding of arbitrary response bodies: an invalid body is an
+// error and is not cached, and a decoded list is equal after being encoded and
+// fetched again.
 func FuzzFetch(f *testing.F) {
 	for _, seed := range []string{
 		`{"version":1,"vms":[]}`,
@@ -40,23 +41,23 @@
 		if err != nil {
 			return
 		}
-		again, err := json.Marshal(list)
+		encoded, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if list2, err := fetch(t, again); err != nil || !reflect.DeepEqual(list, list2) {
+		if list2, err := fetch(t, encoded); err != nil || !reflect.DeepEqual(list, list2) {
 			t.Fatalf("%+v became %+v, %v", list, list2, err)
 		}
 	})
 }
 
-// fetch reads one answer with a new client.
+// fetch decodes one response body with a new client.
 func fetch(t *testing.T, raw []byte) (List, error) {
 	c := NewClient("http://192.0.2.1/v1/vms", time.Minute)
-	c.http.Transport = answers(raw)
+	c.http.Transport = fixedResponse(raw)
 	list, err := c.Fetch(context.Background())
 	if etag, _ := c.cached(); err != nil && etag != "" {
-		t.Fatal("a list that can't be read was kept")
+		t.Fatal("a list that cannot be decoded was cached")
 	}
 	return list, err
 }
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,4 +1,5 @@
-// Package vmlist reads the platform's lagging list of live and leaving VMs.
+// Package vmlist reads the platform's list of live and leaving VMs, which may lag
+// behind the actual state.
 package vmlist
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Role says what runs on a VM.
+// Role is the kind of program that runs on a VM.
 type Role string
 
 // The roles of VMs in the list.
@@ -21,10 +22,10 @@
 	RoleService Role = "service"
 )
 
-// State says whether a VM is to receive new work.
+// State is whether a VM may receive new requests.
 type State string
 
-// The states of VMs in the list.
+// The states of VMs in the list. A leaving VM gets no new requests.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -34,36 +35,36 @@
 type VM struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
-	// Addr is the HTTP address, "ip:port".
+	// Addr is the VM's HTTP address, "ip:port".
 	Addr string `json:"addr"`
-	// PeerAddr is a node's address for other nodes, "ip:port".
+	// PeerAddr is the address at which other nodes connect to a node, "ip:port".
 	PeerAddr string `json:"peer_addr,omitempty"`
 	// Pool is the model pool or service that a target serves.
 	Pool          string `json:"pool,omitempty"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
 	State         State  `json:"state"`
-	// Incarnation grows each time the VM starts anew.
+	// Incarnation is greater each time the VM restarts.
 	Incarnation int64 `json:"incarnation"`
-	// Capacity is the VM's share relative to others of its pool; 0 means 1.
+	// Capacity is the VM's capacity relative to others of its pool; 0 means 1.
 	Capacity int `json:"capacity,omitempty"`
 }
 
-// List is the VM list at a version, which only grows.
+// List is one version of the VM list. Versions only grow.
 type List struct {
 	Version int64 `json:"version"`
 	VMs     []VM  `json:"vms"`
 }
 
-// Source reads the list.
+// Source reads the VM list.
 type Source interface {
-	// Fetch returns the platform's list; it may lag behind the truth.
+	// Fetch returns the platform's list, which may lag behind the actual state.
 	Fetch(ctx context.Context) (List, error)
 }
 
 // Client is a Source over HTTP GET. It sends conditional requests (RFC 9110,
 // If-None-Match), so that a list which hasn't changed isn't sent again, and
-// accepts gzip. It is safe for concurrent use.
+// accepts gzip responses. It is safe for concurrent use.
 type Client struct {
 	url  string
 	http *http.Client
@@ -73,17 +74,17 @@
 	last List
 }
 
-// NewClient returns a Source that reads url, allowing each read the timeout.
+// NewClient returns a Client that reads url; timeout limits each read.
 func NewClient(url string, timeout time.Duration) *Client {
 	return &Client{url: url, http: &http.Client{Timeout: timeout}}
 }
 
-// Fetch implements Source. The VMs of a list that hasn't changed are those
-// returned before; the caller must not change them.
+// Fetch implements Source. If the list hasn't changed, the returned VMs share memory
+// with those returned before; the caller must not modify them.
 func (c *Client) Fetch(ctx context.Context) (List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return List{}, errors.Wrap(err, "vm list")
+		return List{}, errors.Wrap(err, "vm list: create request")
 	}
 	etag, last := c.cached()
 	if etag != "" {
@@ -91,30 +92,32 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return List{}, errors.Wrap(err, "vm list")
+		return List{}, errors.Wrap(err, "vm list: fetch")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch {
 	case resp.StatusCode == http.StatusNotModified && etag != "":
 		return last, nil
 	case resp.StatusCode != http.StatusOK:
-		return List{}, errors.Newf("vm list: status %d", resp.StatusCode)
+		return List{}, errors.Newf("vm list: unexpected status %d", resp.StatusCode)
 	}
 	var l List
 	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
-		return List{}, errors.Wrap(err, "vm list")
+		return List{}, errors.Wrap(err, "vm list: decode response")
 	}
-	c.keep(resp.Header.Get("ETag"), l)
+	c.store(resp.Header.Get("ETag"), l)
 	return l, nil
 }
 
+// cached returns the last list and its entity tag; the tag is empty if there is none.
 func (c *Client) cached() (string, List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.etag, c.last
 }
 
-func (c *Client) keep(etag string, l List) {
+// store caches a list and its entity tag for conditional requests.
+func (c *Client) store(etag string, l List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.etag, c.last = etag, l
--- a/vmlist/vmlist_test.go
+++ b/vmlist/vmlist_test.go
@@ -11,11 +11,11 @@
 	"github.com/matryer/is"
 )
 
-// listServer serves a list with an entity tag and counts whole answers.
+// listServer serves a list with an entity tag and counts full responses.
 type listServer struct {
-	list  List
-	etag  string
-	whole int
+	list          List
+	etag          string
+	fullResponses int
 }
 
 func (s *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -24,7 +24,7 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	s.whole++
+	s.fullResponses++
 	_ = json.NewEncoder(w).Encode(s.list)
 }
 
@@ -39,7 +39,7 @@
 		is.NoErr(err)
 		is.Equal(l, s.list)
 	}
-	is.Equal(s.whole, 1)
+	is.Equal(s.fullResponses, 1)
 	s.etag, s.list = `"2"`, List{Version: 2, VMs: []VM{{ID: "b"}}}
 	l, err := c.Fetch(context.Background())
 	is.NoErr(err)
