--- a/peer/codec.go
+++ b/peer/codec.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	// historyBytes is how much of what a connection carried last serves as
-	// the dictionary of its next message.
-	historyBytes = 2 << 10
-	// compressFrom is the shortest message that is compressed.
-	compressFrom = 32
+	// maxHistoryBytes is how many of the last bytes sent in one direction of a
+	// connection serve as the compression dictionary of the next message.
+	maxHistoryBytes = 2 << 10
+	// minCompressBytes is the size of the shortest message that is compressed.
+	minCompressBytes = 32
 )
 
-// The lowest bit of a message's length says how it is encoded.
+// The lowest bit of the length prefix of a message is its encoding.
 const (
 	plain    = 0
 	deflated = 1
 )
 
-var errGarbled = errors.New("peer: garbled message; run the same protocol on both nodes")
+var errNotDeflate = errors.New("peer: message is not valid DEFLATE data; run the same protocol on both nodes")
 
-// codec frames each message by its length, a varint, and compresses it by
-// DEFLATE (RFC 1951) with the connection's last messages as dictionary. It
-// keeps no compressor between messages, only their last bytes. Each direction
-// of a connection has one order of messages, so both ends keep the same
-// history. It implements jsonrpc2.ObjectCodec for one connection.
+// codec implements jsonrpc2.ObjectCodec for one connection. It prefixes each message
+// with its length, a varint, and compresses it with DEFLATE (RFC 1951), using the
+// last messages in the same direction as the dictionary. It keeps no compressor
+// between messages, only the last bytes of the messages. Messages of one direction
+// arrive in the order in which they were sent, so both ends keep the same history.
 type codec struct {
 	out, in history
 }
 
 func newCodec() *codec { return &codec{} }
 
-// inflaters and buffers serve all connections: they hold nothing between two
-// messages, and one apiece would be 35 kB a connection.
+// inflaters and buffers are shared by all connections: they keep no state between
+// two messages, and one of each per connection would take 35 kB.
 var (
 	inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 	buffers   = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 )
 
-// history is the last bytes of the messages of one direction.
+// history holds the last bytes of the messages of one direction.
 type history struct{ bytes []byte }
 
 func (h *history) add(message []byte) {
-	h.bytes = append(h.bytes, message[max(0, len(message)-historyBytes):]...)
-	if extra := len(h.bytes) - historyBytes; extra > 0 {
+	h.bytes = append(h.bytes, message[max(0, len(message)-maxHistoryBytes):]...)
+	if extra := len(h.bytes) - maxHistoryBytes; extra > 0 {
 		h.bytes = append(h.bytes[:0], h.bytes[extra:]...)
 	}
 }
 
-// WriteObject implements jsonrpc2.ObjectCodec. An error ends the connection.
+// WriteObject implements jsonrpc2.ObjectCodec. After an error other than errTooLarge,
+// part of the message may have been written and outbound.write closes the connection.
 func (c *codec) WriteObject(w io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -71,20 +72,20 @@
 	if err != nil {
 		return err
 	}
-	var head [binary.MaxVarintLen64]byte
-	n := binary.PutUvarint(head[:], uint64(len(payload))<<1|encoding)
-	if _, err := w.Write(head[:n]); err != nil {
+	var prefix [binary.MaxVarintLen64]byte
+	n := binary.PutUvarint(prefix[:], uint64(len(payload))<<1|encoding)
+	if _, err := w.Write(prefix[:n]); err != nil {
 		return err
 	}
 	_, err = w.Write(payload)
 	return err
 }
 
-// compress returns the shorter form of a message, which may lie in buf, and adds
-// the message to the history.
+// compress returns the shorter of the plain and the compressed message, and adds the
+// message to the history. The compressed payload uses the memory of buf.
 func (c *codec) compress(buf *bytes.Buffer, data []byte) (payload []byte, encoding uint64, err error) {
 	defer c.out.add(data)
-	if len(data) < compressFrom {
+	if len(data) < minCompressBytes {
 		return data, plain, nil
 	}
 	buf.Reset()
@@ -97,13 +98,13 @@
 	return buf.Bytes(), deflated, nil
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec. An error ends the connection.
+// ReadObject implements jsonrpc2.ObjectCodec. The connection is closed after an error.
 func (c *codec) ReadObject(r *bufio.Reader, v any) error {
-	head, err := binary.ReadUvarint(r)
+	prefix, err := binary.ReadUvarint(r)
 	if err != nil {
 		return err
 	}
-	n := head >> 1
+	n := prefix >> 1
 	if n > maxMessageBytes {
 		return errTooLarge
 	}
@@ -112,7 +113,7 @@
 		return err
 	}
 	data := payload
-	if head&1 == deflated {
+	if prefix&1 == deflated {
 		if data, err = c.inflate(payload); err != nil {
 			return err
 		}
@@ -121,7 +122,8 @@
 	return json.Unmarshal(data, v)
 }
 
-// inflate undoes compress; what it returns is bounded by maxMessageBytes.
+// inflate decompresses a payload. It returns errTooLarge for a message of more than
+// maxMessageBytes.
 func (c *codec) inflate(payload []byte) ([]byte, error) {
 	inflater := inflaters.Get().(io.ReadCloser)
 	defer inflaters.Put(inflater)
@@ -130,7 +132,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(inflater, maxMessageBytes+1))
 	if err != nil {
-		return nil, errors.Wrapf(errGarbled, "%v", err)
+		return nil, errors.Wrapf(errNotDeflate, "%v", err)
 	}
 	if len(data) > maxMessageBytes {
 		return nil, errTooLarge
@@ -138,8 +140,8 @@
 	return data, nil
 }
 
-// WireBytes returns how many bytes each message takes on a connection that
-// carries them in this order, framing included, without TCP and IP headers.
+// WireBytes returns the size in bytes of each message on a connection that carries
+// them in this order, including the length prefix but not TCP and IP headers.
 func WireBytes(messages ...any) ([]int, error) {
 	c := newCodec()
 	var wire bytes.Buffer
--- a/peer/codec_test.go
+++ b/peer/codec_test.go
@@ -13,11 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-func TestCodecCarriesAnySequence(t *testing.T) {
+func TestCodecRoundTripsAnySequence(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		messages := rapid.SliceOf(rapid.OneOf(
 			rapid.String(),
-			rapid.Map(rapid.IntRange(0, 3*historyBytes), func(n int) string { return strings.Repeat("abc", n) }),
+			rapid.Map(rapid.IntRange(0, 3*maxHistoryBytes), func(n int) string { return strings.Repeat("abc", n) }),
 		)).Draw(rt, "messages")
 		var wire bytes.Buffer
 		w, r := newCodec(), newCodec()
@@ -30,12 +30,12 @@
 			is.New(rt).NoErr(r.ReadObject(in, &got))
 			is.New(rt).Equal(got, m)
 		}
-		is.New(rt).True(len(w.out.bytes) <= historyBytes)
-		is.New(rt).Equal(w.out.bytes, r.in.bytes) // both ends keep one history
+		is.New(rt).True(len(w.out.bytes) <= maxHistoryBytes)
+		is.New(rt).Equal(w.out.bytes, r.in.bytes) // both ends keep the same history
 	})
 }
 
-func TestCodecShrinksLikeMessages(t *testing.T) {
+func TestCodecCompressesRepeatedMessages(t *testing.T) {
 	is := is.New(t)
 	var wire bytes.Buffer
 	c := newCodec()
@@ -43,10 +43,10 @@
 	is.NoErr(c.WriteObject(&wire, message))
 	first := wire.Len()
 	is.NoErr(c.WriteObject(&wire, message))
-	is.True(wire.Len()-first < first/2) // the second refers to the first
+	is.True(wire.Len()-first < first/2) // the first message is the dictionary of the second
 }
 
-func TestCodecRefuses(t *testing.T) {
+func TestCodecRejectsInvalidMessages(t *testing.T) {
 	var bomb bytes.Buffer
 	if err := flate.StatelessDeflate(&bomb, make([]byte, maxMessageBytes+1), true, nil); err != nil {
 		t.Fatal(err)
@@ -58,9 +58,9 @@
 		wire []byte
 		want error
 	}{
-		"a length beyond the limit":    {binary.AppendUvarint(nil, (maxMessageBytes+1)<<1), errTooLarge},
-		"a message that inflates much": {frame(deflated, bomb.Bytes()), errTooLarge},
-		"what isn't DEFLATE":           {frame(deflated, []byte("{\"a\":1}")), errGarbled},
+		"a length beyond the limit":                {binary.AppendUvarint(nil, (maxMessageBytes+1)<<1), errTooLarge},
+		"a message that inflates beyond the limit": {frame(deflated, bomb.Bytes()), errTooLarge},
+		"invalid DEFLATE data":                     {frame(deflated, []byte("{\"a\":1}")), errNotDeflate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v any
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// maxMessageBytes bounds a message; the platform's values have at most
-	// 1 MB, which is 1.4 MB in base64.
+	// maxMessageBytes is the maximum size of a message. The platform's values have
+	// at most 1 MB, which is 1.4 MB in base64.
 	maxMessageBytes = 8 << 20
-	// writeTimeout is how long the network may take to accept a message; a
-	// peer that is frozen or cut off fills its buffers and then fails here.
+	// writeTimeout is the time limit of each write. Once the buffers on the way to a
+	// frozen or disconnected peer are full, writes fail with this timeout.
 	writeTimeout = 2 * time.Second
-	// silenceLimit is how long a call must have waited, with nothing read
-	// from the peer, for its connection to be given up.
-	silenceLimit = time.Second
-	// unackedTimeout is how long sent data may stay unacknowledged.
+	// silenceTimeout is how long a call must have waited, with nothing read from the
+	// peer, before its connection is closed.
+	silenceTimeout = time.Second
+	// unackedTimeout is how long sent data may stay unacknowledged before the
+	// connection is closed.
 	unackedTimeout = 5 * time.Second
 )
 
-// keepAlive finds idle connections whose peer is gone within about 11 s.
+// keepAlive detects within about 11 s that the peer of an idle connection is gone.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
 var errTooLarge = errors.Newf("peer: message of more than %d bytes; send it in parts", maxMessageBytes)
 
-// countedConn counts bytes and bounds the time of each write.
+// countedConn counts the bytes read and written and sets a deadline for each write.
 type countedConn struct {
 	net.Conn
-	in, out prometheus.Counter
-	read    atomic.Int64 // time of the last read in Unix nanoseconds
+	in, out    prometheus.Counter
+	lastReadAt atomic.Int64 // Unix nanoseconds
 }
 
-func (h *Hub) count(raw net.Conn) *countedConn {
+func (h *Hub) newCountedConn(raw net.Conn) *countedConn {
 	return &countedConn{
 		Conn: raw,
 		in:   h.metrics.bytes.WithLabelValues("in"),
@@ -48,7 +49,7 @@
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Add(float64(n))
-	c.read.Store(time.Now().UnixNano())
+	c.lastReadAt.Store(time.Now().UnixNano())
 	return n, err
 }
 
@@ -62,9 +63,10 @@
 	return n, err
 }
 
-func (c *countedConn) lastRead() time.Time { return time.Unix(0, c.read.Load()) }
+func (c *countedConn) lastRead() time.Time { return time.Unix(0, c.lastReadAt.Load()) }
 
-// closeWrite tells the peer that no more comes, after all that was sent.
+// closeWrite closes the sending side after all data has been sent, so that the peer
+// reads an end of file.
 func (c *countedConn) closeWrite() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		return t.CloseWrite()
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// debugLogger takes the log lines of package jsonrpc2.
+// debugLogger writes the log lines of package jsonrpc2 at debug level.
 type debugLogger struct{ log *log.Logger }
 
 // Printf implements jsonrpc2.Logger.
--- a/peer/hub.go
+++ b/peer/hub.go
@@ -1,6 +1,7 @@
-// Package peer carries JSON-RPC 2.0 calls between nodes over TCP. A node dials
-// each peer that it calls, once, and answers on the connections it accepts, so
-// that two nodes share at most one connection a direction.
+// Package peer carries JSON-RPC 2.0 calls between nodes over TCP. A node opens one
+// connection to each peer that it calls, and answers calls on the connections that
+// it accepts. So there are at most two connections between two nodes, one for the
+// calls of each.
 package peer
 
 import (
@@ -30,29 +31,31 @@
 const DefaultCallTimeout = 5 * time.Second
 
 const (
-	// closeTimeout is how long Stop waits for peers to read what was sent and
-	// for handlers in progress.
+	// closeTimeout limits how long Stop waits for handlers in progress and for peers
+	// to read what was sent.
 	closeTimeout = time.Second
-	// maxInbound bounds the connections accepted; a node of a fleet of 370
-	// has at most 369.
+	// maxInbound is the maximum number of open accepted connections. A node of a
+	// fleet of 370 has at most 369.
 	maxInbound = 2048
-	// acceptPause follows a failed accept, for example when the process has
-	// no file descriptor left.
-	acceptPause = 50 * time.Millisecond
-	idlePoll    = 5 * time.Millisecond
+	// acceptRetryDelay is the wait after a failed accept, for example when the
+	// process has no file descriptor left.
+	acceptRetryDelay = 50 * time.Millisecond
+	// idlePollInterval is how often Stop checks whether handlers are in progress.
+	idlePollInterval = 5 * time.Millisecond
 )
 
-// ErrUnreachable means that the peer could not be connected to; it has not
-// seen the call.
+// ErrUnreachable means that no connection to the peer could be opened; the peer has
+// not received the call.
 var ErrUnreachable = errors.New("peer: unreachable; the VM may be gone")
 
-// ErrBusy means that the peer had too many calls in progress; it has not run
-// the call.
+// ErrBusy means that the peer has too many calls in progress; it has not run the
+// call.
 var ErrBusy = errors.New("peer: busy; try again later or another peer")
 
-// Handler serves one method. The result is sent as JSON. The ctx of a
-// request ends when the connection to the caller does. A handler of a
-// notification must not wait for other notifications of the same peer.
+// Handler serves one method. Its result is sent as JSON. The ctx of a request ends
+// when the connection to the caller is closed. A handler of a notification must not
+// wait for other notifications of the same peer, since these may not be read until
+// it returns.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
 // Hub serves this node's methods and calls those of other nodes.
@@ -62,11 +65,11 @@
 	metrics *metrics
 
 	handlers map[string]Handler
-	// limits are the slots of methods of which only so many calls are served at once.
+	// limits holds a semaphore for each method with a limit of concurrent calls.
 	limits   map[string]chan struct{}
 	inFlight atomic.Int64 // handlers in progress
-	// idleAfter is how long an unused connection is kept; 0 for ever.
-	idleAfter time.Duration
+	// idleTimeout is how long an unused connection is kept open; 0 means no limit.
+	idleTimeout time.Duration
 
 	mu       sync.Mutex
 	stopped  bool
@@ -75,7 +78,7 @@
 	inbound  map[*jsonrpc2.Conn]struct{}
 }
 
-// NewHub returns a hub that will listen on "ip:port".
+// NewHub returns a hub that listens on the address listen ("ip:port") once started.
 func NewHub(listen string, l *log.Logger, reg prometheus.Registerer) *Hub {
 	return &Hub{
 		listen:   listen,
@@ -91,18 +94,18 @@
 // ID implements kernel.Service.
 func (h *Hub) ID() kernel.ID { return ServiceID }
 
-// Handle serves method with f. It must be called before Start.
+// Handle registers f as the handler of method. It must be called before Start.
 func (h *Hub) Handle(method string, f Handler) { h.handlers[method] = f }
 
-// Limit bounds the calls of a method that are served at once, by all peers together; the
-// callers beyond that get ErrBusy. A call is served until its result is written. It must
-// be called before Start, and is not for notifications.
-func (h *Hub) Limit(method string, most int) { h.limits[method] = make(chan struct{}, most) }
+// Limit sets the maximum number of concurrent calls of a method, over all peers
+// together; further callers get ErrBusy. A call counts until its result is written.
+// Limit must be called before Start and does not apply to notifications.
+func (h *Hub) Limit(method string, limit int) { h.limits[method] = make(chan struct{}, limit) }
 
-// CloseIdleAfter has connections that no call used for d closed. A connection
-// takes about 25 kB at either end, so it is for nodes that call each other
-// seldom. It must be called before Start.
-func (h *Hub) CloseIdleAfter(d time.Duration) { h.idleAfter = d }
+// CloseIdleAfter makes the hub close connections that no call has used for d. A
+// connection takes about 25 kB at either end, so this is for nodes that call each
+// other seldom. It must be called before Start.
+func (h *Hub) CloseIdleAfter(d time.Duration) { h.idleTimeout = d }
 
 // Start implements kernel.Starter: it listens before it returns. Connections
 // are served until Stop, or until ctx ends.
@@ -114,15 +117,16 @@
 	}
 	h.listener = ln
 	go h.accept(ctx, ln)
-	if h.idleAfter > 0 {
-		go h.closeIdle(ctx)
+	if h.idleTimeout > 0 {
+		go h.closeIdleLinks(ctx)
 	}
 	return nil
 }
 
-// closeIdle closes unused connections until ctx ends or the hub stops.
-func (h *Hub) closeIdle(ctx context.Context) {
-	tick := time.NewTicker(h.idleAfter)
+// closeIdleLinks closes unused connections periodically until ctx ends or the hub
+// stops.
+func (h *Hub) closeIdleLinks(ctx context.Context) {
+	tick := time.NewTicker(h.idleTimeout)
 	defer tick.Stop()
 	for !h.isStopped() {
 		select {
@@ -130,7 +134,7 @@
 			return
 		case now := <-tick.C:
 			for _, l := range h.allLinks() {
-				l.closeIdle(now, h.idleAfter)
+				l.closeIdle(now, h.idleTimeout)
 			}
 		}
 	}
@@ -145,9 +149,9 @@
 // Addr returns the address that the hub listens on, "ip:port".
 func (h *Hub) Addr() string { return h.listener.Addr().String() }
 
-// Stop implements kernel.Stopper. It accepts nothing more, lets handlers in
-// progress answer and peers read what was sent to them, for at most
-// closeTimeout, and closes every connection.
+// Stop implements kernel.Stopper. It accepts no more connections, waits up to
+// closeTimeout for handlers in progress to answer and for peers to read what was
+// sent, and closes every connection.
 func (h *Hub) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
@@ -159,19 +163,21 @@
 	h.mu.Unlock()
 
 	h.waitIdle(ctx)
-	var closing sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, l := range links {
-		closing.Go(func() { l.shutdown(ctx) })
+		shutdowns.Go(func() { l.shutdown(ctx) })
 	}
-	closing.Wait()
+	shutdowns.Wait()
 	for c := range inbound {
 		_ = c.Close()
 	}
 	return errors.Wrap(err, "peer: close listener")
 }
 
-// Call runs a method on the peer at addr and waits for its result, at most
-// until ctx ends or DefaultCallTimeout passes if it has no deadline.
+// Call calls a method on the peer at addr and waits for its result until ctx ends, or
+// for DefaultCallTimeout if ctx has no deadline. After ErrUnreachable and ErrBusy,
+// which are returned wrapped, the peer has not run the call; after other errors it may
+// have.
 func (h *Hub) Call(ctx context.Context, addr, method string, params, result any) error {
 	ctx, cancel := withDeadline(ctx)
 	defer cancel()
@@ -179,12 +185,12 @@
 		h.metrics.messages.WithLabelValues("out", method).Inc()
 		return c.call(ctx, method, params, result)
 	})
-	return h.failure(err, method)
+	return h.countFailure(err, method)
 }
 
-// Notify sends a method to the peer at addr without waiting for a result. It
-// returns nil once the message is handed to the network; the peer may still
-// not get it.
+// Notify sends a notification to the peer at addr without waiting for a result. It
+// returns nil once the message is written to the connection; the peer may still not
+// receive it.
 func (h *Hub) Notify(ctx context.Context, addr, method string, params any) error {
 	ctx, cancel := withDeadline(ctx)
 	defer cancel()
@@ -192,10 +198,11 @@
 		h.metrics.messages.WithLabelValues("out", method).Inc()
 		return c.notify(ctx, method, params)
 	})
-	return h.failure(err, method)
+	return h.countFailure(err, method)
 }
 
-func (h *Hub) failure(err error, method string) error {
+// countFailure counts a failed call or notification by its reason and wraps the error.
+func (h *Hub) countFailure(err error, method string) error {
 	if err == nil {
 		return nil
 	}
@@ -216,8 +223,8 @@
 	return l
 }
 
-// dropIdleLinks forgets unconnected links once there are many, so that the
-// addresses of replaced VMs don't pile up.
+// dropIdleLinks removes unconnected links once there are many, so that the addresses
+// of replaced VMs don't accumulate.
 func (h *Hub) dropIdleLinks() {
 	const many = 1024
 	if len(h.links) < many {
@@ -237,9 +244,9 @@
 	return context.WithTimeout(ctx, DefaultCallTimeout)
 }
 
-// waitIdle waits until no handler is in progress, at most until ctx ends.
+// waitIdle waits until no handler is in progress or ctx ends.
 func (h *Hub) waitIdle(ctx context.Context) {
-	tick := time.NewTicker(idlePoll)
+	tick := time.NewTicker(idlePollInterval)
 	defer tick.Stop()
 	for h.inFlight.Load() > 0 {
 		select {
--- a/peer/hub_test.go
+++ b/peer/hub_test.go
@@ -42,8 +42,8 @@
 
 func echo(_ context.Context, params json.RawMessage) (any, error) { return params, nil }
 
-// silentPeer accepts connections and never answers; read says whether it
-// reads. It returns its address and the number of connections so far.
+// silentPeer accepts connections and never answers; if read is set, it reads what is
+// sent. It returns its address and a counter of accepted connections.
 func silentPeer(t *testing.T, read bool) (string, *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,7 +88,7 @@
 	is.Equal(testutil.ToFloat64(client.metrics.dials.WithLabelValues("connected")), 1.0)
 }
 
-func TestCallFaults(t *testing.T) {
+func TestCallFailureReasons(t *testing.T) {
 	cases := []struct {
 		name   string
 		method string
@@ -118,7 +118,7 @@
 			}
 			err := client.Call(ctx, server.Addr(), tc.method, tc.params, nil)
 			is.Equal(failureReason(err), tc.reason)
-			// The connection still serves.
+			// The connection is still usable.
 			var got text
 			is.NoErr(client.Call(context.Background(), server.Addr(), "echo", text{"hi"}, &got))
 			is.Equal(testutil.ToFloat64(client.metrics.dials.WithLabelValues("connected")), 1.0)
@@ -126,12 +126,12 @@
 	}
 }
 
-func TestSilentConnectionIsDialedAnew(t *testing.T) {
+func TestSilentConnectionIsRedialed(t *testing.T) {
 	is := is.New(t)
 	addr, accepted := silentPeer(t, true)
 	client := start(t, newTestHub())
 	for want := int32(1); want <= 2; want++ {
-		ctx, cancel := context.WithTimeout(context.Background(), silenceLimit+50*time.Millisecond)
+		ctx, cancel := context.WithTimeout(context.Background(), silenceTimeout+50*time.Millisecond)
 		err := client.Call(ctx, addr, "echo", nil, nil)
 		cancel()
 		is.Equal(failureReason(err), "timeout")
@@ -139,10 +139,8 @@
 	}
 }
 
-// TestPeerThatDoesNotRead fills the buffers of a peer. The writer must fail in
-// bounded time, and those behind it when their own deadlines pass.
-// incompressible returns a message that takes n bytes or more on the wire, so
-// that it fills the buffers on the way.
+// incompressible returns a message that takes n bytes or more on the wire, so that
+// it fills the buffers on the way.
 func incompressible(n int) text {
 	raw := make([]byte, n)
 	rng := rand.NewChaCha8([32]byte{})
@@ -150,18 +148,20 @@
 	return text{base64.StdEncoding.EncodeToString(raw)}
 }
 
+// TestPeerThatDoesNotRead fills the buffers of a peer. The blocked writer must fail in
+// bounded time, and those waiting to write when their own deadlines pass.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	is := is.New(t)
 	addr, _ := silentPeer(t, false)
 	client := start(t, newTestHub())
 	big := incompressible(1 << 20)
-	stuck := make(chan error, 1)
+	blocked := make(chan error, 1)
 	go func() {
 		var err error
 		for err == nil {
 			err = client.Notify(context.Background(), addr, "m", big)
 		}
-		stuck <- err
+		blocked <- err
 	}()
 	var err error
 	for err == nil {
@@ -169,10 +169,10 @@
 		err = client.Notify(ctx, addr, "m", big)
 		cancel()
 	}
-	is.True(<-stuck != nil)
+	is.True(<-blocked != nil)
 }
 
-func TestUnreachablePeerIsNotStormed(t *testing.T) {
+func TestUnreachablePeerIsDialedWithBackoff(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -182,10 +182,10 @@
 	for range 100 {
 		is.True(errors.Is(client.Notify(context.Background(), addr, "m", nil), ErrUnreachable))
 	}
-	failed := testutil.ToFloat64(client.metrics.dials.WithLabelValues("failed"))
-	refused := testutil.ToFloat64(client.metrics.failures.WithLabelValues("backoff"))
-	is.Equal(failed+refused, 100.0)
-	is.True(refused > 0)
+	failedDials := testutil.ToFloat64(client.metrics.dials.WithLabelValues("failed"))
+	backedOff := testutil.ToFloat64(client.metrics.failures.WithLabelValues("backoff"))
+	is.Equal(failedDials+backedOff, 100.0)
+	is.True(backedOff > 0)
 }
 
 func TestBackoffIsBounded(t *testing.T) {
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestRestartedPeerIsFound(t *testing.T) {
+func TestRestartedPeerIsReconnected(t *testing.T) {
 	is := is.New(t)
 	first, client := newTestHub(), start(t, newTestHub())
 	first.Handle("echo", echo)
@@ -216,7 +216,7 @@
 	}
 }
 
-func TestFloodIsRefusedAndNotificationsStillPass(t *testing.T) {
+func TestExcessCallsAreRefusedWhileNotificationsPass(t *testing.T) {
 	is := is.New(t)
 	server, client := newTestHub(), start(t, newTestHub())
 	entered, release, notified := make(chan struct{}, 2*maxRequests), make(chan struct{}), make(chan struct{}, 1)
@@ -261,7 +261,7 @@
 	is.True(!errors.As(err, &timeout) || !timeout.Timeout()) // closed, not timed out
 }
 
-func TestStopDeliversWhatWasSent(t *testing.T) {
+func TestStopDeliversSentNotifications(t *testing.T) {
 	is := is.New(t)
 	const sent = 1000
 	server, client := newTestHub(), newTestHub()
@@ -280,7 +280,7 @@
 	got.Wait()
 }
 
-func TestStopAnswersWhatIsInProgress(t *testing.T) {
+func TestStopWaitsForHandlersInProgress(t *testing.T) {
 	is := is.New(t)
 	server, client := newTestHub(), start(t, newTestHub())
 	entered := make(chan struct{})
@@ -320,7 +320,7 @@
 	b.ReportMetric(total/float64(b.N), "wire-B/op")
 }
 
-// cpuTime returns the processor time of this process, which is both peers.
+// cpuTime returns the processor time of this process, which runs both peers.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -329,8 +329,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// A connection that no call uses is closed, one that a call waits on is not, and
-// the next call dials anew.
+// TestIdleConnectionIsClosed checks that a connection is closed when no call uses it,
+// not while a call waits on it, and that the next call dials again.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
 	const idle = 20 * time.Millisecond
--- a/peer/limit_test.go
+++ b/peer/limit_test.go
@@ -11,37 +11,38 @@
 	"github.com/matryer/is"
 )
 
-// A limit of a method is one of all peers together; the calls beyond it are refused, and
-// other methods go on.
-func TestLimitOfAMethodHoldsForAllPeers(t *testing.T) {
-	const most = 3
+// TestMethodLimitIsSharedByAllPeers checks that the limit of a method counts the calls
+// of all peers together, that further calls are refused and that other methods are
+// still served.
+func TestMethodLimitIsSharedByAllPeers(t *testing.T) {
+	const limit = 3
 	is, server := is.New(t), newTestHub()
-	entered, release := make(chan struct{}, most), make(chan struct{})
+	entered, release := make(chan struct{}, limit), make(chan struct{})
 	server.Handle("copy", func(context.Context, json.RawMessage) (any, error) {
 		entered <- struct{}{}
 		<-release
 		return "done", nil
 	})
-	server.Limit("copy", most)
+	server.Limit("copy", limit)
 	server.Handle("echo", echo)
 	start(t, server)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	var served sync.WaitGroup
-	for range most {
+	var calls sync.WaitGroup
+	for range limit {
 		client := start(t, newTestHub())
-		served.Go(func() { is.NoErr(client.Call(ctx, server.Addr(), "copy", nil, nil)) })
+		calls.Go(func() { is.NoErr(client.Call(ctx, server.Addr(), "copy", nil, nil)) })
 	}
-	for range most {
+	for range limit {
 		<-entered
 	}
 	other := start(t, newTestHub())
 	is.True(errors.Is(other.Call(ctx, server.Addr(), "copy", nil, nil), ErrBusy))
 	is.NoErr(other.Call(ctx, server.Addr(), "echo", text{"x"}, nil))
 	close(release)
-	served.Wait()
+	calls.Wait()
 	for {
-		// A slot is free a moment after its caller has the answer.
+		// A slot is released shortly after its caller has received the result.
 		err := other.Call(ctx, server.Addr(), "copy", nil, nil)
 		if err == nil {
 			return
--- a/peer/link.go
+++ b/peer/link.go
@@ -15,50 +15,49 @@
 
 const (
 	dialTimeout = time.Second
-	// minBackoff and maxBackoff bound the pause after a failed dial. Calls
-	// within the pause fail at once, so a lost peer costs its callers nothing
-	// and a returning one is not stormed.
+	// minBackoff and maxBackoff bound the backoff after a failed dial. Calls during
+	// the backoff fail at once, so that callers don't wait for a lost peer and a
+	// returning peer is not overloaded by dials.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// errBackoff is ErrUnreachable without a new attempt to connect.
-var errBackoff = errors.Wrap(ErrUnreachable, "peer: last dial failed")
+// errBackoff is the ErrUnreachable of a call during the backoff, which does not dial.
+var errBackoff = errors.Wrap(ErrUnreachable, "peer: in backoff after a failed dial")
 
-// link is the way to one peer: at most one connection, dialed when needed.
+// link manages the connection to one peer: at most one, dialed when needed.
 type link struct {
 	addr string
 	hub  *Hub
 
-	mu       sync.Mutex
-	closed   bool
-	current  *outbound
-	dial     *dialing // in progress; nil for none
-	failures int
-	retryAt  time.Time
-	// users are the calls in progress, and usedAt is when the last one ended.
-	users  int
-	usedAt time.Time
+	mu          sync.Mutex
+	closed      bool
+	current     *outbound
+	dial        *dialAttempt // in progress; nil if none
+	failures    int
+	retryAt     time.Time
+	activeCalls int
+	lastUsed    time.Time // when the last call ended
 }
 
-// dialing is one attempt to connect, shared by all who wait for it.
-type dialing struct {
+// dialAttempt is one dial, shared by all callers that wait for it.
+type dialAttempt struct {
 	done chan struct{}
 	conn *outbound
 	err  error
 }
 
-// use runs f with the connection, dialing if there is none. Meanwhile the
-// connection doesn't count as idle.
+// use calls f with the connection, dialing if there is none. While f runs, the
+// connection is not idle.
 func (l *link) use(ctx context.Context, f func(*outbound) error) error {
 	l.mu.Lock()
-	l.users++
+	l.activeCalls++
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.users--
-		l.usedAt = time.Now()
+		l.activeCalls--
+		l.lastUsed = time.Now()
 	}()
 	c, err := l.conn(ctx)
 	if err != nil {
@@ -67,18 +66,19 @@
 	return f(c)
 }
 
-// closeIdle closes the connection if no call has used it for a time.
-func (l *link) closeIdle(now time.Time, after time.Duration) {
+// closeIdle closes the connection if no call has used it for idleTimeout.
+func (l *link) closeIdle(now time.Time, idleTimeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.current == nil || l.users > 0 || now.Sub(l.usedAt) < after {
+	if l.current == nil || l.activeCalls > 0 || now.Sub(l.lastUsed) < idleTimeout {
 		return
 	}
 	_ = l.current.rpc.Close()
 	l.current = nil
 }
 
-// conn returns the connection, dialing if there is none.
+// conn returns the connection, dialing if there is none. It returns errBackoff if the
+// link is closed or in backoff.
 func (l *link) conn(ctx context.Context) (*outbound, error) {
 	l.mu.Lock()
 	if l.isConnected() {
@@ -90,7 +90,7 @@
 		return nil, errBackoff
 	}
 	if l.dial == nil {
-		l.dial = &dialing{done: make(chan struct{})}
+		l.dial = &dialAttempt{done: make(chan struct{})}
 		go l.connect(l.dial)
 	}
 	d := l.dial
@@ -103,8 +103,9 @@
 	}
 }
 
-// connect dials on its own time, since several callers wait for it.
-func (l *link) connect(d *dialing) {
+// connect dials with its own timeout rather than a caller's context, since several
+// callers wait for the result.
+func (l *link) connect(d *dialAttempt) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: socket.UnackedTimeout(unackedTimeout)}
 	raw, err := dialer.Dial("tcp", l.addr)
 	l.mu.Lock()
@@ -127,14 +128,15 @@
 	}
 }
 
-// backoff returns the pause after the n-th failed dial in a row; jitter is
-// from 0 to 1 and takes away up to half.
+// backoff returns the time without dials after the n-th failed dial in a row. The
+// jitter, from 0 to 1, shortens it by up to half.
 func backoff(n int, jitter float64) time.Duration {
 	const maxDoublings = 10
 	d := min(minBackoff<<min(n-1, maxDoublings), maxBackoff)
 	return d - time.Duration(jitter*float64(d)/2)
 }
 
+// idle returns whether the link has no connection, dial or backoff.
 func (l *link) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,11 +149,10 @@
 	return l.isConnected()
 }
 
-// isConnected is called with the lock held.
+// isConnected returns whether there is an open connection. The lock must be held.
 func (l *link) isConnected() bool { return l.current != nil && !l.current.disconnected() }
 
-// shutdown closes the link after the peer has read what was sent, at most
-// until ctx ends.
+// shutdown closes the link after the peer has read what was sent, or when ctx ends.
 func (l *link) shutdown(ctx context.Context) {
 	l.mu.Lock()
 	l.closed = true
@@ -163,23 +164,23 @@
 	c.shutdown(ctx)
 }
 
-// outbound is a connection that this node dialed. Only its own calls and
-// their results travel on it.
+// outbound is a connection that this node dialed. It carries only calls of this node
+// and their results.
 type outbound struct {
-	rpc  *jsonrpc2.Conn
-	raw  *countedConn
-	lane chan struct{} // held by the one who writes
+	rpc       *jsonrpc2.Conn
+	raw       *countedConn
+	writeLock chan struct{} // a channel, so that waiting ends with a context
 }
 
 func newOutbound(raw net.Conn, h *Hub) *outbound {
-	counted := h.count(raw)
-	refuse := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+	counted := h.newCountedConn(raw)
+	refuseAll := jsonrpc2.HandlerWithError(func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this side only calls"}
 	})
 	return &outbound{
-		rpc:  h.newConn(context.Background(), counted, refuse),
-		raw:  counted,
-		lane: make(chan struct{}, 1),
+		rpc:       h.newConn(context.Background(), counted, refuseAll),
+		raw:       counted,
+		writeLock: make(chan struct{}, 1),
 	}
 }
 
@@ -192,21 +193,21 @@
 	}
 }
 
-// call sends a request and waits for its result. A connection on which
-// nothing at all came back until the deadline is closed, so that the next call
-// dials anew.
+// call sends a request and waits for its result. If nothing was received on the
+// connection until the deadline, at least silenceTimeout after the start of the call,
+// it closes the connection, so that the next call dials again.
 func (o *outbound) call(ctx context.Context, method string, params, result any) error {
 	start := time.Now()
-	var w jsonrpc2.Waiter
+	var waiter jsonrpc2.Waiter
 	err := o.write(ctx, func() (err error) {
-		w, err = o.rpc.DispatchCall(ctx, method, params)
+		waiter, err = o.rpc.DispatchCall(ctx, method, params)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	err = w.Wait(ctx, result)
-	if errors.Is(err, context.DeadlineExceeded) && o.raw.lastRead().Before(start) && time.Since(start) >= silenceLimit {
+	err = waiter.Wait(ctx, result)
+	if errors.Is(err, context.DeadlineExceeded) && o.raw.lastRead().Before(start) && time.Since(start) >= silenceTimeout {
 		_ = o.rpc.Close()
 	}
 	var remote *jsonrpc2.Error
@@ -220,15 +221,15 @@
 	return o.write(ctx, func() error { return o.rpc.Notify(ctx, method, params) })
 }
 
-// write runs f, which writes one message, when no other is being written. A
-// failed write may have sent half a message, so it closes the connection.
+// write calls f, which writes one message, while holding the write lock. A failed
+// write may have sent part of a message, so it closes the connection.
 func (o *outbound) write(ctx context.Context, f func() error) error {
 	select {
-	case o.lane <- struct{}{}:
+	case o.writeLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-o.lane }()
+	defer func() { <-o.writeLock }()
 	err := f()
 	if err != nil && !errors.Is(err, errTooLarge) {
 		_ = o.rpc.Close()
@@ -236,6 +237,8 @@
 	return err
 }
 
+// shutdown closes the sending side, waits until the peer closes the connection or ctx
+// ends, and closes it.
 func (o *outbound) shutdown(ctx context.Context) {
 	_ = o.write(ctx, o.raw.closeWrite)
 	select {
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// failureReason is the label of a failed call.
+// failureReason returns the label reason of a failed call or notification.
 func failureReason(err error) string {
 	var remote *jsonrpc2.Error
 	switch {
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -9,10 +9,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Bounds of what one peer may have in progress here. A request beyond them is
-// refused at once; notifications beyond them wait in the connection, which
-// slows their sender. The two are apart, so that requests which wait for room
-// never hold up the notifications that make it.
+// Limits of the messages of one peer that are handled concurrently. A request above
+// the limit is refused at once. A notification above the limit blocks reading from
+// the connection, which slows its sender. The limits are separate, so that requests
+// that wait for capacity don't block the notifications that free it.
 const (
 	maxRequests      = 1024
 	maxNotifications = 256
@@ -21,6 +21,7 @@
 // codeBusy is the JSON-RPC error code of ErrBusy.
 const codeBusy = -32001
 
+// accept serves new connections until the hub stops or ctx ends.
 func (h *Hub) accept(ctx context.Context, ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -28,14 +29,16 @@
 			if h.isStopped() || ctx.Err() != nil {
 				return
 			}
-			h.log.Warn("peer connection not accepted", "err", err)
-			time.Sleep(acceptPause)
+			h.log.Warn("cannot accept peer connection", "err", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		h.serve(ctx, c)
 	}
 }
 
+// serve starts serving an accepted connection, or closes it if the hub is stopped or
+// has maxInbound connections.
 func (h *Hub) serve(ctx context.Context, raw net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,7 +52,7 @@
 		requests:      make(chan struct{}, maxRequests),
 		notifications: make(chan struct{}, maxNotifications),
 	}
-	c := h.newConn(ctx, h.count(raw), s)
+	c := h.newConn(ctx, h.newCountedConn(raw), s)
 	h.inbound[c] = struct{}{}
 	h.metrics.connections.Inc()
 	go func() {
@@ -72,28 +75,29 @@
 	return jsonrpc2.NewConn(ctx, stream, handler, jsonrpc2.SetLogger(debugLogger{h.log}))
 }
 
-// session bounds what runs for one accepted connection.
+// session limits the concurrent handlers of one accepted connection.
 type session struct {
 	hub                     *Hub
 	requests, notifications chan struct{}
 }
 
-// Handle implements jsonrpc2.Handler. It is called for one message after the
-// other; no other is read meanwhile.
+// Handle implements jsonrpc2.Handler. It is called for one message at a time; the
+// next one is not read until it returns.
 func (s *session) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if r.Notif {
-		// Its sender may close the connection at once; what arrived is run.
+		// The sender may close the connection at once, which must not cancel the
+		// handler of a notification that has arrived.
 		s.notifications <- struct{}{}
 		s.start(context.WithoutCancel(ctx), c, r, s.notifications)
 		return
 	}
 	limit := s.hub.limits[r.Method]
-	if !take(limit) {
+	if !tryAcquire(limit) {
 		s.refuse(ctx, c, r)
 		return
 	}
-	if !take(s.requests) {
-		give(limit)
+	if !tryAcquire(s.requests) {
+		release(limit)
 		s.refuse(ctx, c, r)
 		return
 	}
@@ -105,8 +109,9 @@
 	_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: codeBusy, Message: ErrBusy.Error()})
 }
 
-// take takes a slot if one is free; nil slots are unlimited.
-func take(slots chan struct{}) bool {
+// tryAcquire takes a slot if one is free and returns whether it did; nil slots are
+// unlimited.
+func tryAcquire(slots chan struct{}) bool {
 	if slots == nil {
 		return true
 	}
@@ -118,20 +123,22 @@
 	}
 }
 
-// give frees a slot.
-func give(slots chan struct{}) {
+// release frees a slot.
+func release(slots chan struct{}) {
 	if slots != nil {
 		<-slots
 	}
 }
 
-func (s *session) start(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request, held ...chan struct{}) {
+// start runs the handler of a message in the background and then releases the slots
+// acquired for it.
+func (s *session) start(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request, acquired ...chan struct{}) {
 	s.hub.inFlight.Add(1)
 	go func() {
 		defer s.hub.inFlight.Add(-1)
 		defer func() {
-			for _, slots := range held {
-				give(slots)
+			for _, slots := range acquired {
+				release(slots)
 			}
 		}()
 		jsonrpc2.HandlerWithError(s.hub.dispatch).SuppressErrClosed().Handle(ctx, c, r)
