--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -7,99 +7,104 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// maxWords bounds the words on leaving targets that are kept to be repeated.
-const maxWords = 1024
+// maxSentReports bounds the reports of leaving targets that are kept to be repeated.
+const maxSentReports = 1024
 
-// news is what is still to be passed on.
-type news struct {
-	nodes []nodeNews
-	words []wordNews
-	old   []targets.Word // words passed on, the last maxWords
+// broadcastQueue holds the changes that are still to be sent to other nodes.
+type broadcastQueue struct {
+	nodes   []nodeBroadcast
+	reports []reportBroadcast
+	sent    []targets.Word // reports sent as often as required, the last maxSentReports
 }
 
-type nodeNews struct {
-	id   string
-	left int // transmissions
+// nodeBroadcast is a node whose current record is still to be sent.
+type nodeBroadcast struct {
+	id        string
+	sendsLeft int
 }
 
-type wordNews struct {
-	word targets.Word
-	left int
+// reportBroadcast is a report of a leaving target that is still to be sent.
+type reportBroadcast struct {
+	report    targets.Word
+	sendsLeft int
 }
 
-func (n *news) empty() bool { return len(n.nodes)+len(n.words) == 0 }
+func (q *broadcastQueue) empty() bool { return len(q.nodes)+len(q.reports) == 0 }
 
-func (n *news) addNode(id string, transmissions int) {
-	n.nodes = slices.DeleteFunc(n.nodes, func(o nodeNews) bool { return o.id == id })
-	n.nodes = append(n.nodes, nodeNews{id, transmissions})
+func (q *broadcastQueue) addNode(id string, sends int) {
+	q.nodes = slices.DeleteFunc(q.nodes, func(o nodeBroadcast) bool { return o.id == id })
+	q.nodes = append(q.nodes, nodeBroadcast{id, sends})
 }
 
-func (n *news) addWord(w targets.Word, transmissions int) {
-	n.words = append(n.words, wordNews{w, transmissions})
+func (q *broadcastQueue) addReport(report targets.Word, sends int) {
+	q.reports = append(q.reports, reportBroadcast{report, sends})
 }
 
-// takeNodes returns the IDs of up to limit nodes whose records are sent next,
-// those sent least first.
-func (n *news) takeNodes(limit int) []string {
-	slices.SortStableFunc(n.nodes, func(a, b nodeNews) int { return cmp.Compare(b.left, a.left) })
+// takeNodes returns the IDs of up to limit nodes whose records are sent next, those
+// with the most sends left first.
+func (q *broadcastQueue) takeNodes(limit int) []string {
+	slices.SortStableFunc(q.nodes, func(a, b nodeBroadcast) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	var out []string
-	for i := range min(limit, len(n.nodes)) {
-		n.nodes[i].left--
-		out = append(out, n.nodes[i].id)
+	for i := range min(limit, len(q.nodes)) {
+		q.nodes[i].sendsLeft--
+		out = append(out, q.nodes[i].id)
 	}
-	n.nodes = slices.DeleteFunc(n.nodes, func(o nodeNews) bool { return o.left <= 0 })
+	q.nodes = slices.DeleteFunc(q.nodes, func(o nodeBroadcast) bool { return o.sendsLeft <= 0 })
 	return out
 }
 
-// takeWords is takeNodes for words.
-func (n *news) takeWords(limit int) []targets.Word {
-	slices.SortStableFunc(n.words, func(a, b wordNews) int { return cmp.Compare(b.left, a.left) })
+// takeReports returns up to limit reports that are sent next, those with the most
+// sends left first.
+func (q *broadcastQueue) takeReports(limit int) []targets.Word {
+	slices.SortStableFunc(q.reports, func(a, b reportBroadcast) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	var out []targets.Word
-	for i := range min(limit, len(n.words)) {
-		n.words[i].left--
-		out = append(out, n.words[i].word)
-		if n.words[i].left == 0 {
-			n.old = append(n.old, n.words[i].word)
+	for i := range min(limit, len(q.reports)) {
+		q.reports[i].sendsLeft--
+		out = append(out, q.reports[i].report)
+		if q.reports[i].sendsLeft == 0 {
+			q.sent = append(q.sent, q.reports[i].report)
 		}
 	}
-	n.words = slices.DeleteFunc(n.words, func(o wordNews) bool { return o.left <= 0 })
-	n.old = n.old[max(0, len(n.old)-maxWords):]
+	q.reports = slices.DeleteFunc(q.reports, func(o reportBroadcast) bool { return o.sendsLeft <= 0 })
+	q.sent = q.sent[max(0, len(q.sent)-maxSentReports):]
 	return out
 }
 
-// gossip sends the news to a few nodes.
+// gossip returns messages with queued changes for Fanout random nodes; nil if nothing
+// is queued.
 func (m *Machine) gossip() []Envelope {
-	if m.news.empty() {
+	if m.queue.empty() {
 		return nil
 	}
 	var out []Envelope
-	for _, n := range m.pick(m.cfg.Fanout, "") {
+	for _, n := range m.randomMembers(m.cfg.Fanout, "") {
 		out = append(out, m.envelope(n.Node, Message{Kind: Gossip}))
 	}
 	return out
 }
 
-// envelope completes a message to a node with this node's record and news.
+// envelope completes a message to a node with this node's record and queued changes.
 func (m *Machine) envelope(to Node, msg Message) Envelope {
 	msg.From = m.self
-	if known, ok := m.nodes[to.ID]; ok && (known.State == Suspect || known.State == Dead) {
+	if known, ok := m.members[to.ID]; ok && (known.State == Suspect || known.State == Dead) {
 		msg.Members = append(msg.Members, known.Node) // so that it can refute
 	}
-	for _, id := range m.news.takeNodes(m.cfg.MaxMembers) {
-		if n, ok := m.nodes[id]; ok {
+	for _, id := range m.queue.takeNodes(m.cfg.MaxMembers) {
+		if n, ok := m.members[id]; ok {
 			msg.Members = append(msg.Members, n.Node)
 		}
 	}
-	msg.Leaving = m.news.takeWords(m.cfg.MaxWords)
+	msg.Leaving = m.queue.takeReports(m.cfg.MaxReports)
 	if msg.Kind == Ping || msg.Kind == Ack {
-		m.repeat(&msg)
+		m.addRepeatedReports(&msg)
 	}
 	return Envelope{To: to.PeerAddr, Message: msg}
 }
 
-// repeat adds old words on leaving targets.
-func (m *Machine) repeat(msg *Message) {
-	for range min(m.cfg.RepeatWords, len(m.news.old)) {
-		msg.Leaving = append(msg.Leaving, m.news.old[m.rng.IntN(len(m.news.old))])
+// addRepeatedReports adds random reports of leaving targets that have already been sent
+// as often as required.
+func (m *Machine) addRepeatedReports(msg *Message) {
+	for range min(m.cfg.RepeatReports, len(m.queue.sent)) {
+		msg.Leaving = append(msg.Leaving, m.queue.sent[m.rng.IntN(len(m.queue.sent))])
 	}
 }
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -19,9 +19,12 @@
 	return membershiptest.New(n, membership.DefaultConfig(), seed)
 }
 
-// agreed says whether every node that is up shows every other as it is.
-func agreed(f *membershiptest.Fleet) bool { return disagreement(f) == "" }
+// converged returns whether the views of all running nodes show the actual state of every
+// node.
+func converged(f *membershiptest.Fleet) bool { return disagreement(f) == "" }
 
+// disagreement describes a node whose state a running node shows wrongly; empty if there
+// is none.
 func disagreement(f *membershiptest.Fleet) string {
 	for _, n := range f.Nodes {
 		if n.Down {
@@ -33,14 +36,14 @@
 				want = membership.Dead
 			}
 			if got, ok := n.View().Node(other.ID); !ok || got.State != want {
-				return fmt.Sprintf("%s shows %s as %v, which is %v", n.ID, other.ID, got.State, want)
+				return fmt.Sprintf("%s shows %s as %v, but it is %v", n.ID, other.ID, got.State, want)
 			}
 		}
 	}
 	return ""
 }
 
-// shownAs says whether every node that is up, but node i, shows it in a state.
+// shownAs returns whether all other running nodes show node i in state s.
 func shownAs(f *membershiptest.Fleet, i int, s membership.State) bool {
 	for j, n := range f.Nodes {
 		if got, _ := n.View().Node(f.Nodes[i].ID); j != i && !n.Down && got.State != s {
@@ -50,7 +53,9 @@
 	return true
 }
 
-func TestFaults(t *testing.T) {
+// TestConvergesAfterSingleFault checks how soon the views are right after each kind of
+// fault.
+func TestConvergesAfterSingleFault(t *testing.T) {
 	const nodes = 53
 	cases := []struct {
 		name  string
@@ -60,10 +65,10 @@
 	}{
 		{"a node is killed", func(f *membershiptest.Fleet) {
 			f.Nodes[0].Down = true
-		}, agreed, 20 * time.Second},
+		}, converged, 20 * time.Second},
 		{"a node leaves", func(f *membershiptest.Fleet) {
 			f.Nodes[0].Leave()
-		}, agreed, 3 * time.Second},
+		}, converged, 3 * time.Second},
 		{"a node leaves while a tenth of the messages are lost", func(f *membershiptest.Fleet) {
 			f.Loss = 0.1
 			f.Nodes[0].Leave()
@@ -72,31 +77,31 @@
 			f.Nodes[0].Leave()
 			f.Run(3 * time.Second)
 			f.Nodes[0].Down = true
-		}, agreed, 90 * time.Second},
+		}, converged, 90 * time.Second},
 		{"a node restarts at once", func(f *membershiptest.Fleet) {
 			f.Boot(0, f.Now.UnixNano())
-		}, agreed, 5 * time.Second},
-		{"an ID comes back on a VM whose clock is behind", func(f *membershiptest.Fleet) {
+		}, converged, 5 * time.Second},
+		{"an ID restarts on a VM whose clock is behind", func(f *membershiptest.Fleet) {
 			f.Nodes[0].Down = true
 			f.Run(20 * time.Second)
 			f.Boot(0, f.Now.Add(-time.Hour).UnixNano())
-		}, agreed, 10 * time.Second},
-		{"a node is frozen for 10 s", func(f *membershiptest.Fleet) {
+		}, converged, 10 * time.Second},
+		{"a node is paused for 10 s", func(f *membershiptest.Fleet) {
 			f.Nodes[0].Down = true
 			f.Run(10 * time.Second)
 			f.Nodes[0].Down = false
-		}, agreed, 20 * time.Second},
+		}, converged, 20 * time.Second},
 		{"a failure domain is lost", func(f *membershiptest.Fleet) {
 			for i := range 18 {
 				f.Nodes[3*i%nodes].Down = true
 			}
-		}, agreed, 60 * time.Second},
-		{"half of the nodes have a list of three", func(f *membershiptest.Fleet) {
+		}, converged, 60 * time.Second},
+		{"half of the nodes restart with a list of three nodes", func(f *membershiptest.Fleet) {
 			for i := range nodes / 2 {
 				f.Boot(i, f.Now.UnixNano())
-				f.List(f.VMs(3), i)
+				f.ApplyList(f.VMs(3), i)
 			}
-		}, agreed, 30 * time.Second},
+		}, converged, 30 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -112,28 +117,28 @@
 	}
 }
 
-func TestRegionCutInTwoForAnHourHeals(t *testing.T) {
+func TestPartitionOfAnHourHeals(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12, 1)
 	for _, n := range f.Nodes[:5] {
-		n.Side = 1
+		n.Partition = 1
 	}
 	f.Run(time.Hour)
-	is.Equal(len(f.Nodes[0].View().Duty("r")), 5) // each side sees itself alone
+	is.Equal(len(f.Nodes[0].View().Duty("r")), 5) // each part shows only its own nodes as alive
 	is.Equal(len(f.Nodes[11].View().Duty("r")), 7)
 	for _, n := range f.Nodes {
-		n.Side = 0
+		n.Partition = 0
 	}
-	is.True(f.RunUntil(30*time.Second, func() bool { return agreed(f) }))
+	is.True(f.RunUntil(30*time.Second, func() bool { return converged(f) }))
 }
 
-// TestConverges puts faults on a small fleet in any order. Once they stop, the
-// nodes that are up agree on the truth.
-func TestConverges(t *testing.T) {
+// TestConvergesAfterRandomFaults applies random faults to a small fleet. Once they end, the
+// views of all running nodes must show the actual states.
+func TestConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "nodes")
 		cfg := membership.DefaultConfig()
-		cfg.Damping.Threshold = 1000 // holds are tested on their own
+		cfg.Damping.Threshold = 1000 // no node is held down; other tests check holds
 		f := membershiptest.New(n, cfg, rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(0, 12).Draw(t, "faults") {
 			i := rapid.IntRange(0, n-1).Draw(t, "node")
@@ -145,7 +150,7 @@
 			case 2:
 				f.Nodes[i].Down = false // as after a pause
 			case 3:
-				f.Nodes[i].Side = 1 - f.Nodes[i].Side
+				f.Nodes[i].Partition = 1 - f.Nodes[i].Partition
 			case 4:
 				f.Nodes[i].Leave()
 			default:
@@ -155,9 +160,9 @@
 		}
 		f.Loss = 0
 		for _, node := range f.Nodes {
-			node.Side = 0
+			node.Partition = 0
 			if node.MostSent > 8 {
-				t.Fatalf("%d messages at one event", node.MostSent)
+				t.Fatalf("%d messages for one event", node.MostSent)
 			}
 		}
 		f.Run(90 * time.Second)
@@ -167,9 +172,10 @@
 	})
 }
 
-// TestOldWordNeverBeatsNew feeds any records of nodes. What a machine shows of
-// a node only moves forward: to a newer incarnation, or to a later state.
-func TestOldWordNeverBeatsNew(t *testing.T) {
+// TestOldRecordNeverSupersedesNewer passes random records of nodes to a machine. The record
+// that its view shows of a node may only be replaced by one that supersedes it, and the
+// node must always show itself as alive.
+func TestOldRecordNeverSupersedesNewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		m := membership.NewMachine(membership.Node{ID: "self", Incarnation: 5}, membership.DefaultConfig(), rand.New(rand.NewPCG(1, 1)), now)
@@ -179,7 +185,7 @@
 			n := membership.Node{
 				ID:          rapid.SampledFrom([]string{"a", "b", "self"}).Draw(t, "id"),
 				Incarnation: rapid.Int64Range(1, 9).Draw(t, "incarnation"),
-				Refuted:     rapid.Int64Range(0, 2).Draw(t, "refuted"),
+				Refutations: rapid.Int64Range(0, 2).Draw(t, "refutations"),
 				State:       membership.State(rapid.IntRange(0, 3).Draw(t, "state")),
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "source") {
@@ -196,18 +202,18 @@
 			}
 			for _, n := range v.Nodes {
 				if old, ok := shown[n.ID]; ok && old.Supersedes(n) {
-					t.Fatalf("%+v after %+v", n, old)
+					t.Fatalf("view shows %+v after %+v", n, old)
 				}
 				shown[n.ID] = n
 			}
 			if self, _ := v.Node("self"); self.State != membership.Alive {
-				t.Fatalf("it believes others of itself: %+v", self)
+				t.Fatalf("it adopted a record of itself from others: %+v", self)
 			}
 		}
 	})
 }
 
-func TestWordOnTargetReachesEveryNode(t *testing.T) {
+func TestLeavingReportReachesEveryNode(t *testing.T) {
 	for _, nodes := range []int{8, 53} {
 		for _, loss := range []float64{0, 0.3} {
 			t.Run(fmt.Sprintf("%d nodes, loss %v", nodes, loss), func(t *testing.T) {
@@ -231,9 +237,9 @@
 	}
 }
 
-// TestWordsOnAFailureDomain lets the engines of a failure domain of the target
-// size leave at once.
-func TestWordsOnAFailureDomain(t *testing.T) {
+// TestLeavingReportsOfAFailureDomain checks that all nodes receive the reports in time when
+// all engines of a failure domain leave at once, in a fleet of the planned size.
+func TestLeavingReportsOfAFailureDomain(t *testing.T) {
 	is := is.New(t)
 	const nodes, engines = 53, 275
 	f := newFleet(nodes, 1)
@@ -251,9 +257,9 @@
 	}))
 }
 
-// TestPausedNodeAccusesNobody freezes a node right after it sent a message, so
-// that the answer to a probe comes while it doesn't listen.
-func TestPausedNodeAccusesNobody(t *testing.T) {
+// TestPausedNodeSuspectsNobody pauses a node right after it sent a message, so that it
+// misses the answer to a probe. It must not suspect the probed node for that.
+func TestPausedNodeSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8, 1)
 	f.Run(10 * time.Second)
@@ -268,12 +274,12 @@
 	}
 	is.Equal(n.Counts().Suspicions, int64(0))
 	is.Equal(n.Counts().Deaths, int64(0))
-	is.True(n.Counts().Refutations > 0) // it was held for dead
+	is.True(n.Counts().Refutations > 0) // others had declared it dead
 }
 
-// TestRefutationIsNoRestart lets a node refute its death. What others hold for
-// its run, for example its claims, must not be given up.
-func TestRefutationIsNoRestart(t *testing.T) {
+// TestRefutationKeepsIncarnation lets a node refute that it is dead. Its incarnation must
+// not change, since others would discard what they keep for it, for example its claims.
+func TestRefutationKeepsIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8, 1)
 	f.Run(time.Second)
@@ -281,22 +287,22 @@
 	f.Nodes[0].Down = true
 	f.Run(10 * time.Second)
 	f.Nodes[0].Down = false
-	is.True(f.RunUntil(time.Minute, func() bool { return agreed(f) }))
+	is.True(f.RunUntil(time.Minute, func() bool { return converged(f) }))
 	after, _ := f.Nodes[1].View().Node(f.Nodes[0].ID)
-	is.True(after.Refuted > before.Refuted)
+	is.True(after.Refutations > before.Refutations)
 	is.Equal(after.Incarnation, before.Incarnation)
 }
 
-// TestNewsThatGossipLostIsRepeated cuts off the only node that knows a word
-// until it has sent the word as often as it will.
-func TestNewsThatGossipLostIsRepeated(t *testing.T) {
+// TestReportLostInGossipIsRepeated disconnects the only node that has a leaving report
+// until it has sent the report as often as gossip does. Probes must repeat it.
+func TestReportLostInGossipIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8, 1)
 	f.Run(10 * time.Second)
-	f.Nodes[0].Side = 1
+	f.Nodes[0].Partition = 1
 	f.Learn(0, targets.Word{Target: "engine-1", Incarnation: 7, Leaving: true})
 	f.Run(2 * time.Second)
-	f.Nodes[0].Side = 0
+	f.Nodes[0].Partition = 0
 	is.True(f.RunUntil(10*time.Second, func() bool {
 		for _, n := range f.Nodes {
 			if len(n.Heard) == 0 {
@@ -307,20 +313,20 @@
 	}))
 }
 
-// TestDeadNodeStaysInTheView tells a node that died from one not heard of yet,
-// also when the VM list drops it.
+// TestDeadNodeStaysInTheView checks that a dead node is still shown as dead, and thus
+// differs from an unknown one, after the VM list has dropped it.
 func TestDeadNodeStaysInTheView(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, 1)
 	f.Run(time.Second)
 	f.Nodes[3].Down = true
-	is.True(f.RunUntil(time.Minute, func() bool { return agreed(f) }))
-	f.List(f.VMs(3))
+	is.True(f.RunUntil(time.Minute, func() bool { return converged(f) }))
+	f.ApplyList(f.VMs(3))
 	f.Run(time.Hour)
 	is.Equal(disagreement(f), "")
 }
 
-func TestFlappingNodeHasNoDuties(t *testing.T) {
+func TestFlappingNodeIsHeldDown(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8, 1)
 	for range 4 {
@@ -334,7 +340,10 @@
 	is.Equal(disagreement(f), "") // the hold has ended
 }
 
-func TestTwoNodesOfOneIDDontDriveEachOther(t *testing.T) {
+// TestDuplicateNodeIDDoesNotCauseARefutationLoop passes a superseding record of the node
+// itself every 10 ms, as a second node with the same ID causes. It may refute once a
+// probe interval.
+func TestDuplicateNodeIDDoesNotCauseARefutationLoop(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	node := membership.Node{ID: "a", Incarnation: 1}
@@ -343,17 +352,17 @@
 		rival := membership.Node{ID: "a", Incarnation: m.Self().Incarnation + 1}
 		m.Receive(membership.Message{From: membership.Node{ID: "b", Incarnation: 1}, Members: []membership.Node{rival}}, now.Add(time.Duration(i)*10*time.Millisecond))
 	}
-	is.True(m.Counts().Refutations <= 11) // 10 s
+	is.True(m.Counts().Refutations <= 11) // the records cover 10 s
 }
 
-func TestListOfOtherRegions(t *testing.T) {
+func TestNodesOfOtherRegionsAreTakenFromTheList(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	m := membership.NewMachine(membership.Node{ID: "a", Region: "r"}, membership.DefaultConfig(), rand.New(rand.NewPCG(1, 1)), now)
 	vm := func(id, region string, s vmlist.State) vmlist.VM {
 		return vmlist.VM{ID: id, Role: vmlist.RoleNode, Region: region, State: s, Incarnation: 1, PeerAddr: id}
 	}
-	m.List(vmlist.List{Version: 1, VMs: []vmlist.VM{
+	m.ApplyList(vmlist.List{Version: 1, VMs: []vmlist.VM{
 		vm("a", "r", vmlist.StateLive), vm("b", "r", vmlist.StateLive),
 		vm("c", "other", vmlist.StateLive), vm("d", "other", vmlist.StateLeaving),
 		{ID: "e", Role: vmlist.RoleEngine, Region: "r"},
@@ -363,6 +372,6 @@
 	is.Equal(len(v.Nodes), 4)
 	is.Equal(len(v.Duty("r")), 2)
 	is.Equal(len(v.Duty("other")), 1)
-	m.List(vmlist.List{Version: 2}, now) // b was known from the list alone
+	m.ApplyList(vmlist.List{Version: 2}, now) // b was known only from the list
 	is.Equal(len(m.View(now).Nodes), 1)
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,13 +1,14 @@
 // Package membership keeps the node's view of the other nodes of the fleet.
 //
-// Nodes of a region watch each other by a SWIM protocol: each probes one other
-// a second, asks a few to probe for it before it suspects, and lets the suspect
-// refute before it is declared dead; news travels with those messages and by
-// gossip. So the cost a node is flat, and the time to everyone grows as a
-// logarithm. Nodes of other regions are known from the VM list alone.
+// Nodes of a region detect failures with a SWIM protocol: each probes one other node a
+// second, asks a few others to probe it as well before it suspects it, and gives the
+// suspect time to refute before it declares it dead. Changes are sent along with these
+// messages and by gossip. So the cost per node does not grow with the number of nodes,
+// and the time until all nodes have received a change grows logarithmically. Nodes of
+// other regions are known from the VM list alone.
 //
-// Machine is the protocol: pure, with the time and the random source passed
-// in. Members is the service around it.
+// Machine implements the protocol without I/O; the time and the random source are
+// passed in. Members is the service that runs it.
 package membership
 
 import (
@@ -20,11 +21,11 @@
 // ServiceID is the kernel name of the service that implements Source.
 const ServiceID kernel.ID = "membership.view"
 
-// State is what this node believes of another.
+// State is the state of a node as recorded by another node.
 type State int
 
-// The states of a node, in the order in which one may override another until
-// the node refutes it.
+// The states of a node. Within an incarnation a later state overrides an earlier one,
+// until the node refutes it.
 const (
 	Alive State = iota
 	Suspect
@@ -50,36 +51,37 @@
 type Node struct {
 	ID            string `json:"i"`
 	PeerAddr      string `json:"a"`
-	Region        string `json:"-"` // only nodes of one region exchange nodes
+	Region        string `json:"-"` // not sent, since only nodes of the same region exchange records
 	FailureDomain string `json:"d"`
-	// Incarnation identifies this start of the node and is greater at the
-	// next. It stays the same while the node runs, unless an older start on a
-	// VM with a later clock had a greater one.
+	// Incarnation identifies a start of the node and is greater at each later start. It
+	// stays the same while the node runs, unless an earlier start on a VM with a later
+	// clock had a greater one.
 	Incarnation int64 `json:"n"`
-	// Refuted counts what the node refuted in this incarnation.
-	Refuted int64 `json:"r,omitempty"`
-	State   State `json:"s,omitempty"`
+	// Refutations counts the records that the node refuted in this incarnation.
+	Refutations int64 `json:"r,omitempty"`
+	State       State `json:"s,omitempty"`
 }
 
-// Supersedes says whether n overrides b, a record of the same node: the newer
-// incarnation does, then the later refutation, then the later state.
+// Supersedes returns whether n overrides b, a record of the same node: the greater
+// incarnation does, then the greater number of refutations, then the later state.
 func (n Node) Supersedes(b Node) bool {
 	if n.Incarnation != b.Incarnation {
 		return n.Incarnation > b.Incarnation
 	}
-	if n.Refuted != b.Refuted {
-		return n.Refuted > b.Refuted
+	if n.Refutations != b.Refutations {
+		return n.Refutations > b.Refutations
 	}
 	return n.State > b.State
 }
 
-// View is an immutable set of nodes, ordered by ID. It includes this node.
+// View is an immutable set of node records, ordered by ID, including this node's. Self
+// is this node's ID.
 type View struct {
 	Self  string
 	Nodes []Node
 }
 
-// Source gives the current view. View never blocks and never returns nil.
+// Source returns the current view. View never blocks and never returns nil.
 type Source interface{ View() *View }
 
 // Node returns the node with the given ID.
@@ -91,8 +93,8 @@
 	return v.Nodes[i], true
 }
 
-// Duty returns the nodes of a region that may hold a duty: those alive or
-// suspect, but not leaving or dead.
+// Duty returns the nodes of a region to which duties may be assigned: those that are
+// alive or suspect, not those that are leaving or dead.
 func (v *View) Duty(region string) []Node {
 	var out []Node
 	for _, n := range v.Nodes {
--- a/membership/membershiptest/fleet.go
+++ b/membership/membershiptest/fleet.go
@@ -1,6 +1,6 @@
-// Package membershiptest runs membership machines of one region against each
-// other on virtual time, for tests and measurements. A seed gives the same run
-// every time.
+// Package membershiptest simulates the membership machines of one region and the network
+// between them on virtual time, for tests and measurements. Runs with the same seed are
+// identical.
 package membershiptest
 
 import (
@@ -16,25 +16,26 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// frameBytes is what JSON-RPC adds to a notification of the protocol.
+// frameBytes is the size of what JSON-RPC and the length prefix add to a message.
 const frameBytes = len(`{"method":"membership.message","params":,"jsonrpc":"2.0"}`) + 2
 
-// latency is the time a message takes.
+// latency is the time from the sending to the delivery of a message.
 const latency = time.Millisecond
 
 // Node is one node of a Fleet.
 type Node struct {
 	*membership.Machine
 	ID    string
-	Heard map[string]time.Time // leaving words, by target
-	// Down drops what is sent to the node and stops its clock.
+	Heard map[string]time.Time // when it received the first leaving report, by target
+	// Down drops messages to the node and skips its ticks.
 	Down bool
-	// Side is the part of a divided network that the node is on.
-	Side int
-	// Messages and Bytes are what the node has sent; Bytes only while
+	// Partition is the part of a partitioned network that the node is in. Messages
+	// between different partitions are lost.
+	Partition int
+	// Messages and Bytes count what the node has sent; Bytes only while
 	// Fleet.CountBytes is set.
 	Messages, Bytes int64
-	// MostSent is the most messages that it sent at one event.
+	// MostSent is the maximum number of messages that it sent for one event.
 	MostSent int
 
 	addr  string
@@ -42,24 +43,25 @@
 	view  *membership.View
 }
 
-// Fleet is a set of nodes and the network between them.
+// Fleet is a set of nodes and the simulated network between them.
 type Fleet struct {
 	Now time.Time
-	// Loss is the share of messages lost.
+	// Loss is the share of messages that are lost, from 0 to 1.
 	Loss float64
-	// CountBytes makes nodes count the bytes they send.
+	// CountBytes makes nodes count the bytes that they send.
 	CountBytes bool
 	Nodes      []*Node
 
-	cfg    membership.Config
-	byAddr map[string]*Node
-	list   vmlist.List
-	rng    *rand.Rand
-	events events
-	serial int64
+	cfg     membership.Config
+	byAddr  map[string]*Node
+	list    vmlist.List
+	rng     *rand.Rand
+	events  events
+	lastSeq int64
 }
 
-// New returns a fleet of n nodes that know each other from the VM list.
+// New returns a fleet of n running nodes that have the same VM list, which contains them
+// all.
 func New(n int, cfg membership.Config, seed uint64) *Fleet {
 	f := &Fleet{
 		Now: time.Unix(1_000_000, 0), cfg: cfg,
@@ -77,7 +79,7 @@
 	return f
 }
 
-// Boot starts node i anew with an incarnation and the VM list.
+// Boot restarts node i with a new machine, an incarnation and the current VM list.
 func (f *Fleet) Boot(i int, incarnation int64) {
 	n := f.Nodes[i]
 	self := membership.Node{
@@ -86,12 +88,12 @@
 	seed := f.rng.Uint64()
 	n.Machine = membership.NewMachine(self, f.cfg, rand.New(rand.NewPCG(seed, seed)), f.Now)
 	n.Down, n.Heard = false, make(map[string]time.Time)
-	n.Machine.List(f.list, f.Now)
+	n.Machine.ApplyList(f.list, f.Now)
 	offset := time.Duration(f.rng.Int64N(int64(f.cfg.GossipInterval)))
 	f.push(event{at: f.Now.Add(offset), node: n, machine: n.Machine})
 }
 
-// VMs returns the VM list's entries of the first n nodes.
+// VMs returns VM list entries of the first n nodes.
 func (f *Fleet) VMs(n int) []vmlist.VM {
 	var vms []vmlist.VM
 	for i, node := range f.Nodes[:n] {
@@ -103,28 +105,28 @@
 	return vms
 }
 
-// List gives the nodes, all if none are named, a VM list.
-func (f *Fleet) List(vms []vmlist.VM, nodes ...int) {
+// ApplyList applies a new VM list to the given nodes, or to all if none are given.
+func (f *Fleet) ApplyList(vms []vmlist.VM, nodes ...int) {
 	f.list = vmlist.List{Version: f.list.Version + 1, VMs: vms}
 	for i, n := range f.Nodes {
 		if len(nodes) == 0 || slices.Contains(nodes, i) {
-			n.Machine.List(f.list, f.Now)
+			n.Machine.ApplyList(f.list, f.Now)
 		}
 	}
 }
 
-// Learn tells node i of a leaving target.
-func (f *Fleet) Learn(i int, w targets.Word) { f.learn(f.Nodes[i], w) }
+// Learn makes node i learn that a target is leaving.
+func (f *Fleet) Learn(i int, report targets.Word) { f.learn(f.Nodes[i], report) }
 
-// Run lets d pass.
+// Run advances the virtual time by d.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.Now.Add(d)
 	f.RunUntil(d, func() bool { return false })
 	f.Now = end
 }
 
-// RunUntil lets time pass until done returns true, asked after each event, and
-// says whether it did so within limit.
+// RunUntil advances the virtual time until done, which is called after each event, returns
+// true. It returns whether this happened within limit.
 func (f *Fleet) RunUntil(limit time.Duration, done func() bool) bool {
 	end := f.Now.Add(limit)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -138,8 +140,9 @@
 	return false
 }
 
+// handle processes a tick or a delivery.
 func (f *Fleet) handle(e event) {
-	if e.node.Machine != e.machine { // it was booted anew
+	if e.node.Machine != e.machine { // the node was restarted
 		return
 	}
 	if e.message == nil {
@@ -152,18 +155,19 @@
 	if e.message == nil {
 		out = e.node.Tick(f.Now)
 	} else {
-		for _, w := range e.message.Leaving {
-			f.learn(e.node, w)
+		for _, report := range e.message.Leaving {
+			f.learn(e.node, report)
 		}
 		out = e.node.Receive(*e.message, f.Now)
 	}
 	f.send(e.node, out)
 }
 
-func (f *Fleet) learn(n *Node, w targets.Word) {
-	if _, ok := n.Heard[w.Target]; !ok {
-		n.Heard[w.Target] = f.Now
-		n.Spread(w)
+// learn records and broadcasts the first leaving report of a target at a node.
+func (f *Fleet) learn(n *Node, report targets.Word) {
+	if _, ok := n.Heard[report.Target]; !ok {
+		n.Heard[report.Target] = f.Now
+		n.BroadcastLeaving(report)
 	}
 }
 
@@ -175,6 +179,7 @@
 	return n.view
 }
 
+// send counts messages of a node and schedules the delivery of those that are not lost.
 func (f *Fleet) send(from *Node, out []membership.Envelope) {
 	from.Messages += int64(len(out))
 	from.MostSent = max(from.MostSent, len(out))
@@ -184,7 +189,7 @@
 			from.Bytes += int64(len(raw) + frameBytes)
 		}
 		to, ok := f.byAddr[e.To]
-		if !ok || to.Side != from.Side || f.rng.Float64() < f.Loss {
+		if !ok || to.Partition != from.Partition || f.rng.Float64() < f.Loss {
 			continue
 		}
 		msg := e.Message
@@ -193,20 +198,21 @@
 }
 
 func (f *Fleet) push(e event) {
-	f.serial++
-	e.serial = f.serial
+	f.lastSeq++
+	e.seq = f.lastSeq
 	heap.Push(&f.events, e)
 }
 
-// event is a tick of a node or, with a message, a delivery.
+// event is the delivery of a message to a node, or a tick of the node if message is nil.
 type event struct {
 	at      time.Time
-	serial  int64
+	seq     int64 // orders events with the same time
 	node    *Node
 	machine *membership.Machine
 	message *membership.Message
 }
 
+// events is a heap ordered by time and seq.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -214,7 +220,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].serial < e[j].serial
+	return e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
--- a/membership/message.go
+++ b/membership/message.go
@@ -7,13 +7,14 @@
 
 // The kinds of messages.
 const (
-	Ping    Kind = iota // asks for an Ack
+	Ping    Kind = iota // requests an Ack
 	Ack                 // answers a Ping
-	PingReq             // asks the receiver to ping Subject and to pass on its Ack
-	Gossip              // carries news only
+	PingReq             // requests that the receiver pings Subject and forwards its Ack
+	Gossip              // carries changes only
 )
 
-// Message is what nodes send each other. Each carries some news.
+// Message is a message of the protocol. Every kind may carry changes: records of nodes
+// and reports of leaving targets.
 type Message struct {
 	Kind Kind `json:"k"`
 	// From is the sender's record of itself.
@@ -21,12 +22,12 @@
 	// Seq matches an Ack with its Ping or PingReq.
 	Seq     uint64 `json:"q,omitempty"`
 	Subject *Node  `json:"t,omitempty"`
-	// Members are records of nodes, Leaving words on leaving targets.
+	// Members are records of nodes. Leaving are reports of leaving targets.
 	Members []Node         `json:"m,omitempty"`
 	Leaving []targets.Word `json:"l,omitempty"`
 }
 
-// Envelope is a message for the node at PeerAddr.
+// Envelope is a message and the address of its receiver.
 type Envelope struct {
 	To      string // PeerAddr
 	Message Message
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// observe sets the gauge of nodes from a view.
 func (m *metrics) observe(v *View) {
 	m.nodes.Reset()
 	for _, n := range v.Nodes {
--- a/membership/service.go
+++ b/membership/service.go
@@ -22,56 +22,58 @@
 const Method = "membership.message"
 
 const (
-	// sendTimeout bounds one message, a dial included; later it is of no use.
+	// sendTimeout limits the sending of a message, including a dial; a message that is
+	// later than this is of no use.
 	sendTimeout = 500 * time.Millisecond
-	// maxSending bounds the messages being sent at a time; more are dropped,
-	// as the network may do.
-	maxSending = 64
+	// maxConcurrentSends limits the messages being sent at a time. Further messages are
+	// dropped; the protocol tolerates lost messages.
+	maxConcurrentSends = 64
 )
 
-// Network carries messages between nodes.
+// Network sends and receives messages between nodes; peer.Hub implements it.
 type Network interface {
 	Handle(method string, f peer.Handler)
 	Notify(ctx context.Context, addr, method string, params any) error
 }
 
-// Targets gives and takes words on leaving targets, and the VM list.
+// Targets provides VM lists and reports of leaving targets, and takes the reports of
+// other nodes; targets.Registry implements it.
 type Targets interface {
 	OnList(f func(vmlist.List))
 	OnLeaving(f func(targets.Word))
-	Learn(words ...targets.Word)
+	Learn(reports ...targets.Word)
 }
 
-// Members is the Source of a node: it runs the Machine on the network.
+// Members is the service that implements Source: it runs a Machine on the network.
 type Members struct {
 	network Network
 	targets Targets
 	log     *log.Logger
 	metrics *metrics
 	view    atomic.Pointer[View]
-	sending chan struct{}
+	sends   chan struct{} // semaphore of messages being sent
 
 	mu      sync.Mutex
 	machine *Machine
 	stop    chan struct{}
 }
 
-// New returns a Source for the node self, which watches the nodes of its
-// region in the VM list that t reads.
+// New returns the service of the node self, which probes the nodes of its region in the
+// VM lists of t.
 func New(self Node, n Network, t Targets, l *log.Logger, reg prometheus.Registerer) *Members {
 	now := time.Now()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	m := &Members{
 		network: n, targets: t, log: l,
-		sending: make(chan struct{}, maxSending),
+		sends:   make(chan struct{}, maxConcurrentSends),
 		machine: NewMachine(self, DefaultConfig(), rng, now),
 		stop:    make(chan struct{}),
 	}
 	m.metrics = newMetrics(reg, m.counts)
 	m.publish(now)
 	n.Handle(Method, m.receive)
-	t.OnList(m.list)
-	t.OnLeaving(m.spread)
+	t.OnList(m.applyList)
+	t.OnLeaving(m.broadcastLeaving)
 	return m
 }
 
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: it announces that this node leaves.
+// Drain implements kernel.Drainer: it announces that this node is leaving.
 func (m *Members) Drain(context.Context) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,12 +98,12 @@
 	return nil
 }
 
-// Stop implements kernel.Stopper: it tells a few nodes that this one has left,
-// so that nobody waits for it.
+// Stop implements kernel.Stopper: it announces to Fanout nodes that this node is dead, so
+// that no node waits for a timeout to detect it.
 func (m *Members) Stop(ctx context.Context) error {
 	close(m.stop)
 	m.mu.Lock()
-	out := m.machine.Left()
+	out := m.machine.Stop()
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -111,6 +113,7 @@
 	return nil
 }
 
+// run ticks the machine every GossipInterval until ctx ends or Stop is called.
 func (m *Members) run(ctx context.Context) {
 	tick := time.NewTicker(m.machine.cfg.GossipInterval)
 	defer tick.Stop()
@@ -126,7 +129,8 @@
 	}
 }
 
-// step runs f on the machine, publishes what changed and sends what comes out.
+// step calls f with the lock held, publishes a changed view and sends the messages that f
+// returns.
 func (m *Members) step(f func(now time.Time) []Envelope) {
 	now := time.Now()
 	m.mu.Lock()
@@ -141,10 +145,10 @@
 func (m *Members) receive(_ context.Context, params json.RawMessage) (any, error) {
 	var msg Message
 	if err := json.Unmarshal(params, &msg); err != nil {
-		return nil, errors.Wrap(err, "membership: message")
+		return nil, errors.Wrap(err, "membership: decode message")
 	}
-	// Words are learnt first and without the lock: news among them comes
-	// back by spread.
+	// The reports are passed on first and without the lock, since Learn calls
+	// broadcastLeaving for each new one.
 	for i := range msg.Leaving {
 		msg.Leaving[i].Leaving = true
 	}
@@ -155,20 +159,20 @@
 	return nil, nil
 }
 
-func (m *Members) list(l vmlist.List) {
+func (m *Members) applyList(l vmlist.List) {
 	m.step(func(now time.Time) []Envelope {
-		m.machine.List(l, now)
+		m.machine.ApplyList(l, now)
 		return nil
 	})
 }
 
-func (m *Members) spread(w targets.Word) {
+func (m *Members) broadcastLeaving(report targets.Word) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.machine.Spread(w)
+	m.machine.BroadcastLeaving(report)
 }
 
-// publish replaces the view if something changed. The lock must be held.
+// publish replaces the view if it changed. The lock must be held.
 func (m *Members) publish(now time.Time) {
 	v := m.machine.View(now)
 	if v == nil {
@@ -191,20 +195,21 @@
 	}
 }
 
-// send sends in the background; it drops the message if many are on their way.
+// send sends a message in the background, or drops it if maxConcurrentSends are being
+// sent.
 func (m *Members) send(e Envelope) {
 	select {
-	case m.sending <- struct{}{}:
+	case m.sends <- struct{}{}:
 	default:
 		m.metrics.dropped.Inc()
 		return
 	}
 	go func() {
-		defer func() { <-m.sending }()
+		defer func() { <-m.sends }()
 		ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 		defer cancel()
 		if err := m.network.Notify(ctx, e.To, Method, e.Message); err != nil {
-			m.log.Debug("membership message not sent", "to", e.To, "err", err)
+			m.log.Debug("cannot send membership message", "to", e.To, "err", err)
 		}
 	}()
 }
--- a/membership/service_test.go
+++ b/membership/service_test.go
@@ -17,23 +17,24 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// network delivers notifications in memory, by address.
+// network holds the message handlers of nodes by address, and delivers notifications in
+// memory.
 type network map[string]peer.Handler
 
-// port is a node's end of a network.
-type port struct {
+// endpoint is a node's connection to a network.
+type endpoint struct {
 	network network
 	addr    string
 }
 
-func (p port) Handle(_ string, f peer.Handler) { p.network[p.addr] = f }
+func (e endpoint) Handle(_ string, f peer.Handler) { e.network[e.addr] = f }
 
-func (p port) Notify(ctx context.Context, addr, _ string, params any) error {
+func (e endpoint) Notify(ctx context.Context, addr, _ string, params any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	_, err = p.network[addr](ctx, raw)
+	_, err = e.network[addr](ctx, raw)
 	return err
 }
 
@@ -50,7 +51,7 @@
 	for _, id := range ids {
 		r := targets.NewRegistry(nil, time.Second, log.New(io.Discard))
 		self := membership.Node{ID: id, PeerAddr: id, Region: "r", Incarnation: time.Now().UnixNano()}
-		m := membership.New(self, port{net, id}, r, log.New(io.Discard), prometheus.NewRegistry())
+		m := membership.New(self, endpoint{net, id}, r, log.New(io.Discard), prometheus.NewRegistry())
 		nodes = append(nodes, node{m, r})
 		list.VMs = append(list.VMs, vmlist.VM{ID: id, Role: vmlist.RoleNode, PeerAddr: id, Region: "r", Incarnation: 1})
 	}
@@ -63,27 +64,27 @@
 	return nodes
 }
 
-// eventually waits for a condition; a minute is a failure.
+// eventually waits until done returns true; it fails the test after a minute.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for start := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(start) > time.Minute {
-			t.Fatal("never: " + what)
+			t.Fatal("not within a minute: " + what)
 		}
 	}
 }
 
-func TestDrainHandsOverDuties(t *testing.T) {
+func TestDrainingNodeGetsNoDuties(t *testing.T) {
 	is := is.New(t)
 	nodes := startNodes(t, "a", "b", "c")
 	is.Equal(len(nodes[0].View().Duty("r")), 3)
 	is.NoErr(nodes[1].Drain(context.Background()))
-	is.Equal(len(nodes[1].View().Duty("r")), 2) // at once for itself
+	is.Equal(len(nodes[1].View().Duty("r")), 2) // its own view changes at once
 	eventually(t, "others exclude the leaving node", func() bool {
 		return len(nodes[0].View().Duty("r")) == 2 && len(nodes[2].View().Duty("r")) == 2
 	})
 	is.NoErr(nodes[1].Stop(context.Background()))
-	eventually(t, "others know that it has left", func() bool {
+	eventually(t, "others record the stopped node as dead", func() bool {
 		n, _ := nodes[0].View().Node("b")
 		return n.State == membership.Dead
 	})
@@ -91,7 +92,7 @@
 	is.NoErr(nodes[2].Stop(context.Background()))
 }
 
-func TestLeavingTargetIsSpread(t *testing.T) {
+func TestLeavingTargetReachesEveryNode(t *testing.T) {
 	nodes := startNodes(t, "a", "b", "c")
 	nodes[0].targets.ObserveLeaving("e", 1)
 	for _, n := range nodes {
--- a/membership/view.go
+++ b/membership/view.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// maxHeldShare is the part of the nodes that may be held down at a time.
-const maxHeldShare = 4 // one in four
+// maxHeldDivisor limits the nodes that are held down at a time to one in four.
+const maxHeldDivisor = 4
 
 // View returns a new view if something has changed since the last call, else
-// nil. Nodes that come and go too often are shown as leaving until their hold
-// ends.
+// nil. Nodes that are held down because they came and went too often are shown as
+// leaving until their hold ends.
 func (m *Machine) View(now time.Time) *View {
 	if !m.changed {
 		return nil
 	}
 	m.changed = false
 	m.damper.Prune(now)
-	v := &View{Self: m.self.ID, Nodes: append([]Node{m.self}, m.remote...)}
-	held := m.held(now)
-	for _, id := range m.order {
-		n := m.nodes[id]
+	v := &View{Self: m.self.ID, Nodes: append([]Node{m.self}, m.otherRegions...)}
+	held := m.heldDown(now)
+	for _, id := range m.ids {
+		n := m.members[id]
 		shown := n.Node
 		if slices.Contains(held, id) {
 			shown.State = Leaving
@@ -32,21 +32,21 @@
 	return v
 }
 
-// held returns the nodes held down, at most a quarter of those known, and
-// notes when the first hold ends.
-func (m *Machine) held(now time.Time) []string {
-	m.nextHold = time.Time{}
+// heldDown returns the IDs of the nodes held down, at most a quarter of the nodes of the
+// region, and sets firstHoldEnd.
+func (m *Machine) heldDown(now time.Time) []string {
+	m.firstHoldEnd = time.Time{}
 	var out []string
-	for _, id := range m.order {
-		if m.nodes[id].State > Suspect || !m.damper.Held(id, now) {
+	for _, id := range m.ids {
+		if m.members[id].State > Suspect || !m.damper.Held(id, now) {
 			continue
 		}
-		if len(out) >= (len(m.order)+1)/maxHeldShare {
+		if len(out) >= (len(m.ids)+1)/maxHeldDivisor {
 			break
 		}
 		out = append(out, id)
-		if end := m.damper.HeldUntil(id); m.nextHold.IsZero() || end.Before(m.nextHold) {
-			m.nextHold = end
+		if end := m.damper.HeldUntil(id); m.firstHoldEnd.IsZero() || end.Before(m.firstHoldEnd) {
+			m.firstHoldEnd = end
 		}
 	}
 	return out
