--- a/orders/bucket.go
+++ b/orders/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// bucket is a token bucket on the caller's clock.
+// bucket is a token bucket; the caller passes the time.
 type bucket struct {
 	rate   float64 // tokens a second
 	burst  float64
@@ -19,7 +19,7 @@
 	b.at = now
 }
 
-// has says whether a token is there at the given time.
+// has reports whether a token is available at now.
 func (b *bucket) has(now time.Time) bool {
 	b.refill(now)
 	return b.tokens >= 1
--- a/orders/http.go
+++ b/orders/http.go
@@ -13,9 +13,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The paths of an engine's order interface. PUT DesiredPath answers 202 once
-// the engine has begun, 409 to an old fencing number, 412 to another
-// incarnation and 422 to an order that it can't bring about.
+// The paths of an engine's order interface. PUT DesiredPath returns 202 once the
+// engine has started to apply the order, 409 for an old fencing number, 412 for
+// another incarnation and 422 for an order that the engine can't apply.
 const (
 	DesiredPath = "/v1/orders/desired"
 	StatePath   = "/v1/orders/state"
@@ -35,15 +35,16 @@
 
 var _ EngineClient = (*HTTPClient)(nil)
 
-// NewHTTPClient returns a client. Deadlines come from the callers' contexts.
+// NewHTTPClient returns a client without timeouts of its own; the callers' contexts
+// set the deadlines.
 func NewHTTPClient() *HTTPClient {
 	return &HTTPClient{reads: &http.Client{Transport: &http.Transport{
 		MaxIdleConns: maxIdleEngines, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout,
 	}}}
 }
 
-// guardedConn asks the guard right before each write, so that a process which
-// was paused since the order was planned sends nothing of it.
+// guardedConn calls the guard right before each write, so that a process that was
+// paused after the order was planned sends no part of it.
 type guardedConn struct {
 	net.Conn
 	guard Guard
@@ -58,8 +59,8 @@
 	return c.Conn.Write(b)
 }
 
-// Apply implements EngineClient. Each order has a connection of its own, which
-// no earlier order can have left bytes on and which ends with the order.
+// Apply implements EngineClient. Each order uses a new connection, so that no bytes
+// of an earlier order can be on it, and closes it at the end.
 func (c *HTTPClient) Apply(ctx context.Context, addr string, o Order, guard Guard) error {
 	raw, err := json.Marshal(o)
 	if err != nil {
@@ -95,6 +96,7 @@
 	}
 }
 
+// orderError maps the status of an engine's response to an error.
 func orderError(status int) error {
 	switch status {
 	case http.StatusAccepted, http.StatusOK:
@@ -123,7 +125,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return State{}, errors.Newf("state of %s: status %d", addr, resp.StatusCode)
+		return State{}, errors.Newf("read the state of %s: status %d", addr, resp.StatusCode)
 	}
 	var s State
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxStateBytes)).Decode(&s)
--- a/orders/issuer.go
+++ b/orders/issuer.go
@@ -15,10 +15,11 @@
 // readTimeout bounds one read of an engine's state.
 const readTimeout = time.Second
 
-// readsPerTick bounds how long slow engines can hold up a tick.
+// readsPerTick is the maximum number of reads in a tick; with readTimeout it bounds
+// how long slow engines can delay a tick.
 const readsPerTick = 4
 
-// Holder says whether this node holds the duty of a pool's issuer.
+// Holder is the lease on the duty of a pool's issuer, as seen by this node.
 type Holder interface {
 	// Held returns the current term, checked against the clock now.
 	Held() (lease.Term, bool)
@@ -28,7 +29,7 @@
 	Fenced(fence int64) store.Compare
 }
 
-// Issuer issues the orders of one pool while its node holds the duty. It
+// Issuer issues the orders of one pool while its node holds the pool's lease. It
 // isn't safe for concurrent use.
 type Issuer struct {
 	name    string // of the node
@@ -41,11 +42,11 @@
 	metrics *Metrics
 	log     *log.Logger
 	now     func() time.Time
-	waiting Reason
-	retried map[Retry]int
+	waiting Reason              // last logged
+	retried map[RetryReason]int // retries already counted in the metrics
 }
 
-// Deps are what an Issuer works with.
+// Deps holds the dependencies of an Issuer.
 type Deps struct {
 	Node    string
 	Region  string
@@ -63,13 +64,12 @@
 		name: d.Node, poolID: pool, key: Key(d.Region, pool), pool: NewPool(d.Limits),
 		holder: h, store: d.Store, client: d.Client,
 		metrics: d.Metrics, log: d.Log.With("pool", pool), now: d.Now,
-		retried: make(map[Retry]int),
+		retried: make(map[RetryReason]int),
 	}
 }
 
-// Tick reads some engines, sends at most one order and writes the record if
-// it is due. It does nothing but note spec and targets while the duty isn't
-// held.
+// Tick reads some engines' states, sends at most one order and writes the record if
+// that is due. While the lease isn't held, it only stores spec and targets.
 func (i *Issuer) Tick(ctx context.Context, s Spec, targets []Target) {
 	i.pool.SetSpec(s)
 	i.pool.SetTargets(targets)
@@ -83,7 +83,7 @@
 	i.report()
 }
 
-// refresh asks the holder for the term.
+// refresh passes the holder's term to the pool and reports whether it is held.
 func (i *Issuer) refresh() bool {
 	t, ok := i.holder.Held()
 	i.pool.SetTerm(t, ok, i.now())
@@ -91,7 +91,7 @@
 }
 
 func (i *Issuer) readRecord(ctx context.Context) {
-	if !i.pool.RecordUnknown(i.now()) {
+	if !i.pool.RecordReadDue(i.now()) {
 		return
 	}
 	kv, ok, err := i.store.Get(ctx, i.key)
@@ -103,14 +103,14 @@
 	var r Record
 	if ok {
 		if r, err = ParseRecord(kv); err != nil {
-			i.log.Error("record replaced", "err", err)
+			i.log.Error("invalid record is replaced", "err", err)
 		}
 	}
 	i.pool.RecordRead(r, kv.ModRevision)
 }
 
-// writeRecord writes the record if this term still holds the duty in the
-// store and nobody wrote meanwhile.
+// writeRecord writes the record if one is due. The write succeeds only if the lease
+// in the store is still in this term and the record hasn't changed meanwhile.
 func (i *Issuer) writeRecord(ctx context.Context) {
 	r, replaces, ok := i.pool.NextRecord(i.now())
 	if !ok {
@@ -119,7 +119,7 @@
 	r.Issuer, r.WrittenUnix = i.name, i.now().Unix()
 	raw, err := json.Marshal(r)
 	if err != nil {
-		i.log.Error("record not encoded", "err", err)
+		i.log.Error("encoding the record failed", "err", err)
 		return
 	}
 	revision, ok, err := i.store.Commit(ctx, store.Txn{
@@ -132,7 +132,7 @@
 		return
 	}
 	i.pool.RecordWritten(r, revision, i.now())
-	i.log.Info("orders recorded", "fence", r.Fence, "version", r.Spec.Desired.Version,
+	i.log.Info("record written", "fence", r.Fence, "version", r.Spec.Desired.Version,
 		"done", r.Progress.Done, "engines", r.Progress.Engines, "halted", r.Halted)
 }
 
@@ -144,7 +144,7 @@
 		}
 		s, err := i.read(ctx, t.Addr)
 		i.metrics.reads.WithLabelValues(outcome(err)).Inc()
-		i.pool.Observe(t.ID, s, err, i.now())
+		i.pool.ReadDone(t.ID, s, err, i.now())
 	}
 }
 
@@ -154,8 +154,8 @@
 	return i.client.Read(ctx, addr)
 }
 
-// order sends the next order, if there is one. Reading engines and the record
-// took time, so the term is checked again here and by the guard.
+// order sends the next order, if there is one. The term is checked again here and by
+// the guard, because reading the engines and the record took time.
 func (i *Issuer) order(ctx context.Context) {
 	if !i.refresh() {
 		return
@@ -169,7 +169,7 @@
 	i.metrics.sent.WithLabelValues(outcome(err)).Inc()
 	i.log.Info("order sent", "engine", t.ID, "fence", o.Fence, "version", o.Desired.Version,
 		"role", o.Desired.Role, "outcome", outcome(err))
-	i.pool.Sent(t.ID, err, i.now())
+	i.pool.OrderDone(t.ID, err, i.now())
 	if i.pool.Fenced() {
 		i.holder.Lose()
 	}
@@ -186,21 +186,22 @@
 	return i.client.Apply(ctx, t.Addr, o, func() error { return i.check(o.Fence, notAfter) })
 }
 
-// check is the guard of an order.
+// check is the Guard of an order: the term must still be held, and the time before
+// notAfter.
 func (i *Issuer) check(fence int64, notAfter time.Time) error {
 	t, ok := i.holder.Held()
 	switch {
 	case !ok || t.Fence != fence:
-		return errors.Wrap(ErrNotSent, "the lease has lapsed")
+		return errors.Wrap(ErrNotSent, "the lease has expired")
 	case !i.now().Before(notAfter):
-		return errors.Wrap(ErrNotSent, "the order's time is over")
+		return errors.Wrap(ErrNotSent, "the order's deadline has passed")
 	}
 	return nil
 }
 
-// report updates the metrics and logs a change of what the issuer waits for.
+// report updates the metrics and logs a change of the reason for waiting.
 func (i *Issuer) report() {
-	i.metrics.progress(i.poolID, i.pool.snapshot().Progress)
+	i.metrics.setProgress(i.poolID, i.pool.snapshot().Progress)
 	for why, n := range i.pool.retries {
 		i.metrics.retries.WithLabelValues(string(why)).Add(float64(n - i.retried[why]))
 		i.retried[why] = n
@@ -214,5 +215,5 @@
 		return
 	}
 	i.metrics.waits.WithLabelValues(string(why)).Inc()
-	i.log.Info("orders wait", "reason", why, "halted", i.pool.halted)
+	i.log.Info("orders are waiting", "reason", why, "halted", i.pool.halted)
 }
--- a/orders/metrics.go
+++ b/orders/metrics.go
@@ -10,7 +10,7 @@
 
 const subsystem = "orders"
 
-// Metrics counts what a node's issuers do.
+// Metrics holds the metrics of a node's issuers.
 type Metrics struct {
 	sent    *prometheus.CounterVec
 	reads   *prometheus.CounterVec
@@ -36,7 +36,7 @@
 	}
 }
 
-func (m *Metrics) progress(pool string, p Progress) {
+func (m *Metrics) setProgress(pool string, p Progress) {
 	for state, n := range map[string]int{
 		"done": p.Done, "loading": p.Loading, "wrong": p.Wrong, "failed": p.Failed, "unknown": p.Unknown,
 	} {
@@ -44,11 +44,11 @@
 	}
 }
 
-func (m *Metrics) forget(pool string) {
+func (m *Metrics) deletePool(pool string) {
 	m.engines.DeletePartialMatch(prometheus.Labels{"pool": pool})
 }
 
-// outcome names an engine client's error.
+// outcome returns the outcome label for an error of an EngineClient.
 func outcome(err error) string {
 	switch {
 	case err == nil:
@@ -67,7 +67,7 @@
 	return "failed"
 }
 
-// storeOutcome names the result of a store call.
+// storeOutcome returns the outcome label for the result of a store call.
 func storeOutcome(ok bool, err error) string {
 	switch {
 	case errors.Is(err, store.ErrUncertain):
--- a/orders/orderstest/client.go
+++ b/orders/orderstest/client.go
@@ -8,11 +8,11 @@
 	"github.com/knapweedgw/knapweedgw/orders"
 )
 
-// Client is an orders.EngineClient for engines in memory, by address.
+// Client is an orders.EngineClient for in-memory engines, by address.
 type Client struct {
 	Engines map[string]*Engine
-	// BeforeGuard and AfterGuard, if set, run before and after an order's
-	// guard; a test pauses the issuer there.
+	// BeforeGuard and AfterGuard, if set, run before and after an order's guard.
+	// Tests use them to simulate a pause of the issuer.
 	BeforeGuard, AfterGuard func()
 }
 
--- a/orders/orderstest/contract.go
+++ b/orders/orderstest/contract.go
@@ -10,10 +10,11 @@
 	"github.com/knapweedgw/knapweedgw/orders"
 )
 
-// Incarnation is that of the engine of a Harness.
+// Incarnation is the incarnation of the engine of a Harness.
 const Incarnation = 7
 
-// Harness is a client, the engine behind Addr, and an address where none is.
+// Harness holds the client under test, the engine at Addr, and an address without
+// an engine.
 type Harness struct {
 	Client   orders.EngineClient
 	Engine   *Engine
@@ -22,12 +23,12 @@
 }
 
 type contractCase struct {
-	name   string
-	faults Faults
-	orders []orders.Order
-	want   error // of the last order
-	state  orders.State
-	runs   int // orders applied
+	name    string
+	faults  Faults
+	orders  []orders.Order
+	want    error // of the last order
+	state   orders.State
+	applied int // number of orders
 }
 
 var (
@@ -50,13 +51,13 @@
 	restarted.Incarnation++
 	return []contractCase{
 		{"applied and read back", Faults{}, []orders.Order{order(3, v2)}, nil, ready(3, v2), 1},
-		{"twice is as once", Faults{}, []orders.Order{order(3, v1), order(3, v1)}, nil, ready(3, v1), 2},
+		{"applied twice with the same result", Faults{}, []orders.Order{order(3, v1), order(3, v1)}, nil, ready(3, v1), 2},
 		{"greater number accepted", Faults{}, []orders.Order{order(3, v1), order(4, v2)}, nil, ready(4, v2), 2},
 		{"smaller number refused", Faults{}, []orders.Order{order(4, v2), order(3, v1)}, orders.ErrStaleFence, ready(4, v2), 1},
-		{"smaller number obeyed", Faults{IgnoreFencing: true}, []orders.Order{order(4, v2), order(3, v1)}, nil, ready(3, v1), 2},
+		{"smaller number accepted by an engine that ignores fencing", Faults{IgnoreFencing: true}, []orders.Order{order(4, v2), order(3, v1)}, nil, ready(3, v1), 2},
 		{"other incarnation refused", Faults{}, []orders.Order{order(2, v1), restarted}, orders.ErrIncarnation, ready(2, v1), 1},
 		{"content refused", Faults{RefuseVersion: "2"}, []orders.Order{order(3, v1), order(4, v2)}, orders.ErrRefused, ready(3, v1), 1},
-		{"answer lost after the effect", Faults{LoseEvery: 1}, []orders.Order{order(3, v1)}, orders.ErrUncertain, ready(3, v1), 1},
+		{"response lost after the order was applied", Faults{LoseEvery: 1}, []orders.Order{order(3, v1)}, orders.ErrUncertain, ready(3, v1), 1},
 		{"role changed without a load", Faults{}, []orders.Order{order(3, v1), order(3, prefill)}, nil, ready(3, prefill), 2},
 		{"failed load read back", Faults{FailVersion: "1"}, []orders.Order{order(3, v1)}, nil, orders.State{
 			Incarnation: Incarnation, Fence: 3, Phase: orders.PhaseFailed, Target: v1, Error: "no weights for version 1",
@@ -64,9 +65,9 @@
 	}
 }
 
-func pass() error { return nil }
+func allow() error { return nil }
 
-// Contract checks what every orders.EngineClient must do.
+// Contract tests the behavior required of every orders.EngineClient.
 func Contract(t *testing.T, start func(t *testing.T) Harness) {
 	for _, tt := range contractCases() {
 		t.Run(tt.name, func(t *testing.T) {
@@ -75,16 +76,16 @@
 			h.Engine.SetFaults(tt.faults)
 			var err error
 			for _, o := range tt.orders {
-				err = h.Client.Apply(context.Background(), h.Addr, o, pass)
+				err = h.Client.Apply(context.Background(), h.Addr, o, allow)
 			}
 			is.True(errors.Is(err, tt.want) || err == nil && tt.want == nil) // outcome of the last order
 			s, err := h.Client.Read(context.Background(), h.Addr)
 			is.NoErr(err)
 			is.Equal(s, tt.state)
-			is.Equal(len(h.Engine.Journal()), tt.runs)
+			is.Equal(len(h.Engine.Journal()), tt.applied)
 		})
 	}
-	t.Run("guard refuses", func(t *testing.T) {
+	t.Run("guard returns an error", func(t *testing.T) {
 		is := is.New(t)
 		h := start(t)
 		err := h.Client.Apply(context.Background(), h.Addr, order(3, v1), func() error { return errors.New("lapsed") })
@@ -96,13 +97,13 @@
 		h := start(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		is.True(errors.Is(h.Client.Apply(ctx, h.Addr, order(3, v1), pass), orders.ErrNotSent))
+		is.True(errors.Is(h.Client.Apply(ctx, h.Addr, order(3, v1), allow), orders.ErrNotSent))
 		is.Equal(len(h.Engine.Journal()), 0)
 	})
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("no engine at the address", func(t *testing.T) {
 		is := is.New(t)
 		h := start(t)
-		is.True(errors.Is(h.Client.Apply(context.Background(), h.DeadAddr, order(3, v1), pass), orders.ErrNotSent))
+		is.True(errors.Is(h.Client.Apply(context.Background(), h.DeadAddr, order(3, v1), allow), orders.ErrNotSent))
 		_, err := h.Client.Read(context.Background(), h.DeadAddr)
 		is.True(err != nil)
 	})
--- a/orders/orderstest/engine.go
+++ b/orders/orderstest/engine.go
@@ -1,5 +1,5 @@
-// Package orderstest has an engine in memory that takes orders, an
-// orders.EngineClient for it, and the contract that every client must meet.
+// Package orderstest contains an in-memory engine that accepts orders, an
+// orders.EngineClient for it, and the contract tests for every EngineClient.
 package orderstest
 
 import (
@@ -12,31 +12,32 @@
 	"github.com/knapweedgw/knapweedgw/orders"
 )
 
-// Faults are the engine's switches about orders; the zero value is an engine
-// that checks fencing numbers and loads at once.
+// Faults configures the engine's faults; the zero value is an engine that checks
+// fencing numbers and loads without delay.
 type Faults struct {
-	// IgnoreFencing obeys every order, whatever its numbers.
+	// IgnoreFencing accepts every order, whatever its fencing number and
+	// incarnation.
 	IgnoreFencing bool `json:"ignore_fencing"`
-	// LoadMS is how long a load takes.
+	// LoadMS is how long a load takes, in milliseconds.
 	LoadMS int `json:"load_ms"`
-	// FailVersion makes loads of that version fail.
+	// FailVersion makes loads of this version fail.
 	FailVersion string `json:"fail_version"`
-	// RefuseVersion refuses orders for that version.
+	// RefuseVersion makes the engine refuse orders for this version.
 	RefuseVersion string `json:"refuse_version"`
-	// LoseEvery loses the answer of each n-th order after it took effect.
+	// LoseEvery, if n > 0, makes the response to each n-th order get lost after the
+	// order was applied.
 	LoseEvery int `json:"lose_every"`
-	// Down answers nothing.
+	// Down makes every call fail without a response.
 	Down bool `json:"down"`
 }
 
-// Entry is one order that the engine applied.
+// Entry is one order that the engine applied, with its time.
 type Entry struct {
 	At    time.Time    `json:"at"`
 	Order orders.Order `json:"order"`
 }
 
-// Engine is the part of a model engine that takes orders. It is safe for
-// concurrent use.
+// Engine simulates the order interface of an engine. It is safe for concurrent use.
 type Engine struct {
 	now func() time.Time
 
@@ -48,26 +49,27 @@
 	journal []Entry
 }
 
-// NewEngine returns an empty engine on the given clock.
+// NewEngine returns an engine with nothing loaded that uses the given clock.
 func NewEngine(incarnation int64, now func() time.Time) *Engine {
 	return &Engine{now: now, state: orders.State{Incarnation: incarnation, Phase: orders.PhaseEmpty}}
 }
 
-// SetFaults puts the switches in force.
+// SetFaults replaces the configured faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Faults returns the switches in force.
+// Faults returns the configured faults.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// Apply takes an order. lost says that its answer is to be lost.
+// Apply applies an order or returns why it is refused. If lost is true, the caller
+// must drop the response.
 func (e *Engine) Apply(o orders.Order) (lost bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// begin starts to bring about d; an order for what is there or under way
-// changes nothing.
+// begin starts to apply d; an order for the state that is loaded or loading changes
+// nothing.
 func (e *Engine) begin(d orders.Desired) {
 	s := &e.state
 	same := s.Target.Equal(d) && s.Phase != orders.PhaseFailed
@@ -114,7 +116,7 @@
 	e.advance()
 }
 
-// advance ends a load whose time has come.
+// advance completes a load whose duration has passed.
 func (e *Engine) advance() {
 	s := &e.state
 	if s.Phase != orders.PhaseLoading || e.now().Before(e.readyAt) {
@@ -127,7 +129,7 @@
 	s.Phase, s.Current = orders.PhaseReady, s.Target
 }
 
-// State returns the engine's report.
+// State returns the engine's current state.
 func (e *Engine) State() orders.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,13 +144,13 @@
 	return slices.Clone(e.journal)
 }
 
-// Restart empties the engine, which forgets its fencing number, and gives it
-// a new incarnation.
+// Restart simulates a restart: the engine has a new incarnation, nothing loaded and
+// no fencing number.
 func (e *Engine) Restart(incarnation int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = orders.State{Incarnation: incarnation, Phase: orders.PhaseEmpty}
 }
 
-// errDown is what a call to an engine that answers nothing ends in.
+// errDown is the error of a call to an engine that is down.
 var errDown = errors.Wrap(orders.ErrNotSent, "engine down")
--- a/orders/plan.go
+++ b/orders/plan.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// class is where an engine stands towards the desired state.
+// class compares the state of an engine with the desired state.
 type class int
 
 const (
-	classUnknown class = iota // not read, or not reachable
-	classWrong                // another state than the desired one
-	classLoading              // ordered, not there yet
-	classFailed               // tried and failed
-	classDone                 // there
+	classUnknown class = iota // state not read, or engine not reachable
+	classWrong                // in another state than the desired one
+	classLoading              // ordered, desired state not reached yet
+	classFailed               // tried to load the desired state and failed
+	classDone                 // in the desired state
 )
 
-// view is what the plan knows of one engine.
-type view struct {
-	class   class
-	serving bool // ready with some state, and no order outstanding
-	busy    bool // loads something, or was ordered to
-	weights bool // an order would load from the weight store
-	unread  bool // not read in this term, nor found unreachable
-	tried   bool // ordered and not there yet, whether loading or waiting to retry
-	gaveUp  bool
-	nextTry time.Time
-	fence   int64 // the greatest that the engine has accepted
+// engineView is the input of plan about one engine.
+type engineView struct {
+	class      class
+	serving    bool // ready with some state, and no order outstanding
+	busy       bool // loads some state, or has an order outstanding
+	needsLoad  bool // an order would load from the weight store
+	unread     bool // neither read in this term nor found unreachable
+	inProgress bool // ordered and not done yet, whether loading or waiting for a retry
+	gaveUp     bool // MaxAttempts orders have failed
+	nextTry    time.Time
+	fence      int64 // of the order last accepted by the engine
 }
 
-// Reason says why no order was issued.
+// Reason is the reason why no order was issued.
 type Reason string
 
 // The reasons for which an issuer issues no order.
 const (
-	ReasonNone       Reason = ""
-	ReasonNotIssuer  Reason = "not_issuer"      // the lease isn't held
-	ReasonWaitingOut Reason = "waiting_out"     // an old issuer's orders may still arrive
-	ReasonUnrecorded Reason = "unrecorded"      // the desired state isn't on record yet
-	ReasonBehind     Reason = "settings_behind" // the record has newer settings than this node
-	ReasonUnread     Reason = "unread"          // some engines haven't been read in this term
-	ReasonHalted     Reason = "halted"          // the roll-out stopped after failures
-	ReasonCanary     Reason = "canary"          // waiting for the first engines
-	ReasonLoading    Reason = "max_loading"     // enough engines load
-	ReasonOut        Reason = "max_out"         // enough engines are out of service
-	ReasonRate       Reason = "load_rate"       // the weight store's share is used up
-	ReasonBackoff    Reason = "backoff"         // failed engines wait for their next try
-	ReasonDone       Reason = "converged"       // nothing to order
+	ReasonNone           Reason = ""
+	ReasonNotIssuer      Reason = "not_issuer"      // the lease isn't held
+	ReasonWaitingOut     Reason = "waiting_out"     // orders of an earlier issuer may still arrive
+	ReasonUnrecorded     Reason = "unrecorded"      // the record doesn't hold the desired state yet
+	ReasonSettingsBehind Reason = "settings_behind" // the record is from newer settings than this node has
+	ReasonUnread         Reason = "unread"          // some engines' states haven't been read in this term
+	ReasonHalted         Reason = "halted"          // the roll-out was halted after failures
+	ReasonCanary         Reason = "canary"          // waiting for the canaries to reach the state
+	ReasonMaxLoading     Reason = "max_loading"     // as many engines load as Limits.MaxLoading allows
+	ReasonMaxOut         Reason = "max_out"         // as many are out of service as Limits.MaxOutShare allows
+	ReasonRate           Reason = "load_rate"       // Limits.LoadsPerMinute is used up
+	ReasonBackoff        Reason = "backoff"         // failed engines wait for their retry
+	ReasonDone           Reason = "converged"       // no engine needs an order
 )
 
-// counts are the engines of a pool by class.
+// counts holds the number of engines of a pool by class and by flag.
 type counts struct {
 	total, unknown, wrong, loading, failed, done int
-	gaveUp, out, busy, tried                     int
+	gaveUp, out, busy, inProgress                int
 }
 
-func count(views []view) counts {
+func count(views []engineView) counts {
 	c := counts{total: len(views)}
 	for _, v := range views {
 		switch v.class {
@@ -76,8 +76,8 @@
 		if v.busy {
 			c.busy++
 		}
-		if v.tried {
-			c.tried++
+		if v.inProgress {
+			c.inProgress++
 		}
 		if !v.serving {
 			c.out++
@@ -86,17 +86,18 @@
 	return c
 }
 
-// plan returns the index of the engine to order next, or -1 and why there is
-// none. Engines that serve nothing come first: ordering them costs nothing.
-func plan(views []view, l Limits, hasToken bool, now time.Time) (int, Reason) {
-	if slices.ContainsFunc(views, func(v view) bool { return v.unread }) {
+// plan returns the index of the engine to order next, or -1 and the reason why
+// there is none. Engines that aren't serving come first, since ordering them takes
+// no capacity out of service.
+func plan(views []engineView, l Limits, hasToken bool, now time.Time) (int, Reason) {
+	if slices.ContainsFunc(views, func(v engineView) bool { return v.unread }) {
 		return -1, ReasonUnread
 	}
 	c := count(views)
 	canaries := min(l.Canaries, c.total)
 	best, why := -1, ReasonDone
 	for i, v := range views {
-		r := admit(v, c, canaries, l, hasToken, now)
+		r := blockReason(v, c, canaries, l, hasToken, now)
 		switch {
 		case r == ReasonNone && (best < 0 || !v.serving && views[best].serving):
 			best = i
@@ -110,20 +111,21 @@
 	return -1, why
 }
 
-// admit says whether one engine may be ordered now.
-func admit(v view, c counts, canaries int, l Limits, hasToken bool, now time.Time) Reason {
+// blockReason returns why an engine may not be ordered now, ReasonNone if it may.
+// ReasonDone means that it needs no order or was given up.
+func blockReason(v engineView, c counts, canaries int, l Limits, hasToken bool, now time.Time) Reason {
 	switch {
 	case v.class != classWrong && v.class != classFailed, v.gaveUp:
 		return ReasonDone
-	case c.done < canaries && c.tried >= canaries-c.done && !v.tried:
+	case c.done < canaries && c.inProgress >= canaries-c.done && !v.inProgress:
 		return ReasonCanary
 	case c.busy >= l.MaxLoading && !v.busy:
-		return ReasonLoading
+		return ReasonMaxLoading
 	case v.serving && c.out >= maxOut(c.total, l.MaxOutShare):
-		return ReasonOut
+		return ReasonMaxOut
 	case now.Before(v.nextTry):
 		return ReasonBackoff
-	case v.weights && !hasToken:
+	case v.needsLoad && !hasToken:
 		return ReasonRate
 	}
 	return ReasonNone
@@ -133,9 +135,9 @@
 	return max(1, int(float64(total)*share))
 }
 
-// halts says whether a roll-out must stop: its canaries were given up, or too
-// many engines after them.
-func halts(c counts, l Limits) bool {
+// shouldHalt reports whether a roll-out must stop: all its canaries were given up,
+// or too many engines after the canaries had succeeded.
+func shouldHalt(c counts, l Limits) bool {
 	canaries := min(l.Canaries, c.total)
 	if c.gaveUp == 0 {
 		return false
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -10,19 +10,19 @@
 	"github.com/knapweedgw/knapweedgw/lease"
 )
 
-// unreachableReads is how many reads in a row must fail before an engine's
-// last known state is doubted.
+// unreachableReads is the number of consecutive failed reads after which the last
+// known state of an engine is discarded.
 const unreachableReads = 2
 
-// engine is what an issuer knows of one engine during a term.
+// engine is the issuer's data about one engine during a term.
 type engine struct {
 	target    Target
-	known     bool
+	known     bool // state holds the result of a read
 	state     State
 	readFails int
 	nextRead  time.Time
-	ordered   time.Time // of the order outstanding; zero if none
-	attempts  int       // failed for the present desired state
+	ordered   time.Time // when the outstanding order was sent; zero if none is
+	attempts  int       // failed orders for the current desired state
 	nextTry   time.Time
 	err       string
 }
@@ -38,36 +38,36 @@
 
 	term   lease.Term
 	active bool
-	began  time.Time
-	fenced bool
+	began  time.Time // of the term
+	fenced bool      // see Fenced
 
 	loads, reads bucket
-	ledger       ledger
-	halted       string
+	recordCache  recordCache
+	halted       string // why the roll-out was halted; empty if it wasn't
 	reason       Reason
-	retries      map[Retry]int
+	retries      map[RetryReason]int
 }
 
-// Retry says why an engine is ordered again.
-type Retry string
+// RetryReason is the reason why an engine is ordered again.
+type RetryReason string
 
-// The reasons for which an order counts as failed.
+// The reasons for ordering an engine again.
 const (
-	RetryLoadFailed  Retry = "load_failed"
-	RetryUnseen      Retry = "unseen"
-	RetryRefused     Retry = "refused"
-	RetryIncarnation Retry = "incarnation"
-	RetryNotSent     Retry = "not_sent"
-	RetryDrifted     Retry = "drifted" // was there, and is no longer
+	RetryLoadFailed  RetryReason = "load_failed"
+	RetryUnseen      RetryReason = "unseen" // the engine's state doesn't show the order
+	RetryRefused     RetryReason = "refused"
+	RetryIncarnation RetryReason = "incarnation"
+	RetryNotSent     RetryReason = "not_sent"
+	RetryDrifted     RetryReason = "drifted" // the engine has left the desired state
 )
 
 // NewPool returns a pool without spec, engines or term.
 func NewPool(l Limits) *Pool {
-	return &Pool{limits: l, engines: make(map[string]*engine), retries: make(map[Retry]int)}
+	return &Pool{limits: l, engines: make(map[string]*engine), retries: make(map[RetryReason]int)}
 }
 
-// SetTerm begins a term, goes on with it, or ends it if ok is false. A new
-// term starts with no knowledge of the engines.
+// SetTerm starts or extends a term of the lease, or suspends it if ok is false. A
+// new term starts without the engines' states, which are read again.
 func (p *Pool) SetTerm(t lease.Term, ok bool, now time.Time) {
 	switch {
 	case !ok:
@@ -75,7 +75,7 @@
 	case p.active && p.term.Fence == t.Fence:
 		p.term = t
 	case p.term.Fence == t.Fence:
-		p.active, p.term = true, t // believed again in the same term
+		p.active, p.term = true, t // the same term was confirmed again
 	default:
 		p.begin(t, now)
 	}
@@ -84,7 +84,7 @@
 func (p *Pool) begin(t lease.Term, now time.Time) {
 	p.term, p.active, p.began, p.fenced = t, true, now, false
 	p.halted = ""
-	p.ledger = ledger{}
+	p.recordCache = recordCache{}
 	p.loads = newBucket(p.loadRate(), float64(p.limits.MaxLoading), now)
 	p.reads = newBucket(p.limits.ReadsPerSecond, max(1, p.limits.ReadsPerSecond), now)
 	for id, e := range p.engines {
@@ -92,8 +92,8 @@
 	}
 }
 
-// SetSpec sets the desired state. A changed one forgets the failures of the
-// one before. An older revision than the present one is ignored.
+// SetSpec sets the desired state. A change clears the failures that belong to the
+// previous state. A spec with an older revision than the current one is ignored.
 func (p *Pool) SetSpec(s Spec) {
 	if s.Revision < p.spec.Revision {
 		return
@@ -104,12 +104,12 @@
 		p.hash = h
 		p.halted = ""
 		for _, e := range p.engines {
-			e.forgetOrder()
+			e.clearOrder()
 		}
 	}
 }
 
-// loadRate returns the loads a second that the weight store is to give.
+// loadRate returns the allowed loads from the weight store per second.
 func (p *Pool) loadRate() float64 {
 	perMinute := p.limits.LoadsPerMinute
 	if p.spec.LoadsPerMinute > 0 {
@@ -118,9 +118,9 @@
 	return perMinute / time.Minute.Seconds()
 }
 
-// forgetOrder forgets the failures, and has the state read again if an order
-// is outstanding.
-func (e *engine) forgetOrder() {
+// clearOrder clears the outstanding order and the failures. If an order was
+// outstanding, the state is discarded and due to be read again.
+func (e *engine) clearOrder() {
 	if !e.ordered.IsZero() {
 		e.known, e.readFails, e.nextRead = false, 0, time.Time{}
 	}
@@ -128,7 +128,8 @@
 	e.attempts, e.err = 0, ""
 }
 
-// SetTargets sets the engines of the pool, without the leaving ones.
+// SetTargets sets the engines of the pool; the caller leaves out engines that are
+// leaving. An engine with a new incarnation starts without a known state.
 func (p *Pool) SetTargets(targets []Target) {
 	next := make(map[string]*engine, len(targets))
 	p.ids = p.ids[:0]
@@ -145,17 +146,17 @@
 	p.engines = next
 }
 
-// Fenced says that an engine has seen a greater fencing number: the term is
-// over, or the engine came from another pool and a newer term is needed.
+// Fenced reports whether an engine has accepted a greater fencing number: the term
+// is over, or the engine came from another pool and a newer term is needed.
 func (p *Pool) Fenced() bool { return p.fenced }
 
 // Fence returns the fencing number of the term.
 func (p *Pool) Fence() int64 { return p.term.Fence }
 
-// NextRead returns the engine whose state is to be read next. An engine's
-// state isn't read while an old issuer's orders may still arrive at it.
+// NextRead returns the engine whose state is to be read now. No state is read while
+// orders of an earlier issuer may still arrive and change it.
 func (p *Pool) NextRead(now time.Time) (Target, bool) {
-	if !p.active || p.waitsOut(now) || !p.reads.has(now) {
+	if !p.active || p.earlierOrdersInFlight(now) || !p.reads.has(now) {
 		return Target{}, false
 	}
 	var next *engine
@@ -172,8 +173,9 @@
 	return next.target, true
 }
 
-// readBefore says which of two engines that are due is read first: one under
-// an order, for the next engine waits for it; else the one due for longer.
+// readBefore reports whether e is read before o when both are due: a busy engine
+// comes first, because the order to the next engine waits for it; otherwise the one
+// due for longer.
 func (e *engine) readBefore(o *engine) bool {
 	if e.busy() != o.busy() {
 		return e.busy()
@@ -181,15 +183,15 @@
 	return e.nextRead.Before(o.nextRead)
 }
 
-// busy says that the engine loads something, or was ordered to.
+// busy reports whether the engine loads some state or has an order outstanding.
 func (e *engine) busy() bool {
 	return e.known && (e.state.Phase == PhaseLoading || !e.ordered.IsZero())
 }
 
-// NextOrder returns the order to send now. If there is none, Waiting tells
-// why.
+// NextOrder returns the order to send now. If there is none, Waiting returns the
+// reason.
 func (p *Pool) NextOrder(now time.Time) (Target, Order, bool) {
-	p.reason = p.gate(now)
+	p.reason = p.termBlockReason(now)
 	if p.reason != ReasonNone {
 		return Target{}, Order{}, false
 	}
@@ -202,7 +204,7 @@
 	i, why := plan(views, p.limits, p.loads.has(now), now)
 	p.reason = why
 	if i < 0 {
-		i = p.claim(views, now)
+		i = p.nextToRefence(views, now)
 	}
 	if i < 0 {
 		return Target{}, Order{}, false
@@ -211,49 +213,50 @@
 	return t, Order{Fence: p.term.Fence, Incarnation: t.Incarnation, Desired: p.spec.Desired}, true
 }
 
-// claim returns an engine that is in the desired state but would still accept
-// an order of an older term, or -1. An order for the state that it has makes it
-// refuse those from then on.
-func (p *Pool) claim(views []view, now time.Time) int {
+// nextToRefence returns the index of an engine that is in the desired state but
+// would still accept an order of an older term, or -1. An order for the state that
+// it already has makes it refuse orders of older terms from then on.
+func (p *Pool) nextToRefence(views []engineView, now time.Time) int {
 	if p.spec.Fencing != FencingChecked {
 		return -1
 	}
-	return slices.IndexFunc(views, func(v view) bool {
+	return slices.IndexFunc(views, func(v engineView) bool {
 		return v.class == classDone && v.fence < p.term.Fence && !now.Before(v.nextTry)
 	})
 }
 
-// Waiting returns why the last NextOrder returned none.
+// Waiting returns the reason why the last NextOrder returned no order.
 func (p *Pool) Waiting() Reason { return p.reason }
 
-// gate holds back every order until the term is safe to act in.
-func (p *Pool) gate(now time.Time) Reason {
+// termBlockReason returns why no order may be sent in this term yet, ReasonNone if
+// orders may be sent.
+func (p *Pool) termBlockReason(now time.Time) Reason {
 	switch {
 	case !p.active || p.fenced:
 		return ReasonNotIssuer
-	case p.waitsOut(now):
+	case p.earlierOrdersInFlight(now):
 		return ReasonWaitingOut
-	case p.ledger.behind(p.spec, p.hash):
-		return ReasonBehind
-	case !p.ledger.has(p.hash):
+	case p.recordCache.behind(p.spec, p.hash):
+		return ReasonSettingsBehind
+	case !p.recordCache.has(p.hash):
 		return ReasonUnrecorded
 	}
 	return ReasonNone
 }
 
-// waitsOut says that orders of the term before may still be on their way to
-// engines that would obey them.
-func (p *Pool) waitsOut(now time.Time) bool {
+// earlierOrdersInFlight reports whether orders of an earlier term may still be in
+// flight to engines that would accept them.
+func (p *Pool) earlierOrdersInFlight(now time.Time) bool {
 	return p.spec.Fencing != FencingChecked && now.Before(p.began.Add(p.limits.OrderTimeout+p.limits.Settle))
 }
 
 func (p *Pool) halt(c counts) {
-	if p.halted == "" && halts(c, p.limits) {
+	if p.halted == "" && shouldHalt(c, p.limits) {
 		p.halted = strings.Join(p.failures(), "; ")
 	}
 }
 
-// failures lists the engines given up, with their errors.
+// failures returns the given-up engines with their errors, at most maxErrors.
 func (p *Pool) failures() []string {
 	var out []string
 	for _, id := range p.ids {
@@ -265,21 +268,21 @@
 	return out[:min(len(out), maxErrors)]
 }
 
-func (p *Pool) views() []view {
-	views := make([]view, len(p.ids))
+func (p *Pool) views() []engineView {
+	views := make([]engineView, len(p.ids))
 	for i, id := range p.ids {
 		e := p.engines[id]
 		c, gaveUp := e.class(p.spec.Desired), e.attempts >= p.limits.MaxAttempts
-		views[i] = view{
-			class:   c,
-			serving: e.known && e.state.Phase == PhaseReady && e.ordered.IsZero(),
-			busy:    e.busy(),
-			weights: !e.state.Current.SameWeights(p.spec.Desired),
-			unread:  !e.known && e.readFails < unreachableReads,
-			tried:   c == classLoading || e.attempts > 0 && !gaveUp,
-			gaveUp:  gaveUp,
-			nextTry: e.nextTry,
-			fence:   e.state.Fence,
+		views[i] = engineView{
+			class:      c,
+			serving:    e.known && e.state.Phase == PhaseReady && e.ordered.IsZero(),
+			busy:       e.busy(),
+			needsLoad:  !e.state.Current.SameWeights(p.spec.Desired),
+			unread:     !e.known && e.readFails < unreachableReads,
+			inProgress: c == classLoading || e.attempts > 0 && !gaveUp,
+			gaveUp:     gaveUp,
+			nextTry:    e.nextTry,
+			fence:      e.state.Fence,
 		}
 	}
 	return views
@@ -300,8 +303,8 @@
 	return classWrong
 }
 
-// Sent takes the outcome of an order.
-func (p *Pool) Sent(id string, err error, now time.Time) {
+// OrderDone handles the outcome of an order.
+func (p *Pool) OrderDone(id string, err error, now time.Time) {
 	e, ok := p.engines[id]
 	if !ok {
 		return
@@ -329,8 +332,8 @@
 	}
 }
 
-// Observe takes the outcome of a read.
-func (p *Pool) Observe(id string, s State, err error, now time.Time) {
+// ReadDone handles the outcome of a read of an engine's state.
+func (p *Pool) ReadDone(id string, s State, err error, now time.Time) {
 	e, ok := p.engines[id]
 	if !ok {
 		return
@@ -343,12 +346,13 @@
 	}
 	was := e.class(p.spec.Desired)
 	e.known, e.readFails, e.state = true, 0, s
-	p.settle(e, was, now)
+	p.reconcile(e, was, now)
 	e.nextRead = now.Add(p.readEvery(e))
 }
 
-// settle compares an engine's state with the order outstanding.
-func (p *Pool) settle(e *engine, was class, now time.Time) {
+// reconcile compares the state just read with the outstanding order and with was,
+// the class before the read.
+func (p *Pool) reconcile(e *engine, was class, now time.Time) {
 	d := p.spec.Desired
 	switch {
 	case e.state.Phase == PhaseReady && e.state.Current.Equal(d):
@@ -366,7 +370,7 @@
 	}
 }
 
-func (p *Pool) failed(e *engine, why Retry, msg string, now time.Time) {
+func (p *Pool) failed(e *engine, why RetryReason, msg string, now time.Time) {
 	p.retries[why]++
 	e.attempts++
 	e.ordered = time.Time{}
@@ -381,7 +385,7 @@
 	return p.limits.ReadEvery
 }
 
-// backoff doubles with each failure.
+// backoff returns the delay after a number of failures; it doubles with each one.
 func (p *Pool) backoff(failures int) time.Duration {
 	const maxDoublings = 16
 	return min(p.limits.MaxBackoff, p.limits.Backoff<<min(failures-1, maxDoublings))
--- a/orders/pool_test.go
+++ b/orders/pool_test.go
@@ -17,7 +17,7 @@
 	return Spec{Revision: revision, Fencing: f, Desired: Desired{Model: "m", Version: version, Role: RoleBoth}}
 }
 
-func is1(version string, phase Phase) State {
+func stateOf(version string, phase Phase) State {
 	s := State{Incarnation: 1, Fence: 1, Phase: phase, Target: spec(0, version, "").Desired}
 	if phase == PhaseReady {
 		s.Current = s.Target
@@ -25,8 +25,8 @@
 	return s
 }
 
-// poolOf returns a pool of engines that checks fencing, in a term, with its
-// state on record, and with every engine read as given.
+// poolOf returns a pool in a term, with its spec recorded and with the given state
+// read from each engine.
 func poolOf(s Spec, states ...State) *Pool {
 	p := NewPool(DefaultLimits())
 	p.limits.LoadsPerMinute = 6000
@@ -41,7 +41,7 @@
 	r, _, _ := p.NextRecord(epoch)
 	p.RecordWritten(r, 1, epoch)
 	for i, st := range states {
-		p.Observe(targets[i].ID, st, nil, epoch)
+		p.ReadDone(targets[i].ID, st, nil, epoch)
 	}
 	return p
 }
@@ -54,48 +54,49 @@
 	return out
 }
 
-// drain sends every order that is let through and returns how many.
-func drain(p *Pool, now time.Time) int {
+// sendAll sends orders until none is allowed and returns how many it sent.
+func sendAll(p *Pool, now time.Time) int {
 	n := 0
 	for {
 		t, _, ok := p.NextOrder(now)
 		if !ok {
 			return n
 		}
-		p.Sent(t.ID, nil, now)
+		p.OrderDone(t.ID, nil, now)
 		n++
 	}
 }
 
-// TestGates is the table of what holds a new issuer back.
-func TestGates(t *testing.T) {
-	ignored := poolOf(spec(1, "2", FencingIgnored), is1("1", PhaseReady))
-	unrecorded := poolOf(spec(1, "1", FencingChecked), is1("1", PhaseReady))
+// TestWaitReasons checks when an issuer must not send an order, and the reason that
+// it reports.
+func TestWaitReasons(t *testing.T) {
+	ignored := poolOf(spec(1, "2", FencingIgnored), stateOf("1", PhaseReady))
+	unrecorded := poolOf(spec(1, "1", FencingChecked), stateOf("1", PhaseReady))
 	unrecorded.SetSpec(spec(2, "2", FencingChecked))
-	behind := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+	behind := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 	behind.RecordRead(Record{Spec: spec(2, "3", FencingChecked)}, 7)
-	same := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+	same := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 	same.RecordRead(Record{Spec: spec(2, "2", FencingChecked)}, 7)
-	halted := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+	halted := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 	halted.RecordRead(Record{Spec: spec(1, "2", FencingChecked), Halted: "e: bad"}, 7)
-	again := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+	again := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 	again.RecordRead(Record{Spec: spec(1, "2", FencingChecked), Halted: "e: bad"}, 7)
 	raised := spec(2, "2", FencingChecked)
 	raised.Attempt = 1
 	again.SetSpec(raised)
 	r, _, _ := again.NextRecord(epoch)
 	again.RecordWritten(r, 8, epoch)
-	unread := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady), is1("1", PhaseReady))
+	unread := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady), stateOf("1", PhaseReady))
 	unread.SetTargets([]Target{{ID: "e00", Incarnation: 1}, {ID: "e01", Incarnation: 2}})
-	reordered := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
-	drain(reordered, epoch)
+	reordered := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
+	sendAll(reordered, epoch)
 	reordered.SetSpec(spec(2, "3", FencingChecked))
 	r, _, _ = reordered.NextRecord(epoch)
 	reordered.RecordWritten(r, 2, epoch)
-	lost := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+	lost := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 	lost.SetTerm(lease.Term{}, false, epoch)
-	fenced := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
-	fenced.Sent("e00", ErrStaleFence, epoch)
+	fenced := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
+	fenced.OrderDone("e00", ErrStaleFence, epoch)
 
 	tests := []struct {
 		name string
@@ -103,12 +104,12 @@
 		at   time.Duration
 		want Reason
 	}{
-		{"old orders may arrive", ignored, 4999 * time.Millisecond, ReasonWaitingOut},
-		{"old orders waited out", ignored, 5 * time.Second, ReasonNone},
-		{"desired state not on record", unrecorded, 0, ReasonUnrecorded},
-		{"record of newer settings", behind, 0, ReasonBehind},
+		{"earlier orders may arrive", ignored, 4999 * time.Millisecond, ReasonWaitingOut},
+		{"earlier orders can't arrive any more", ignored, 5 * time.Second, ReasonNone},
+		{"desired state not recorded", unrecorded, 0, ReasonUnrecorded},
+		{"record of newer settings", behind, 0, ReasonSettingsBehind},
 		{"newer revision, same state", same, 0, ReasonNone},
-		{"stopped by an earlier issuer", halted, 0, ReasonHalted},
+		{"halted by an earlier issuer", halted, 0, ReasonHalted},
 		{"attempt raised by the operator", again, 0, ReasonNone},
 		{"restarted engine not read", unread, 0, ReasonUnread},
 		{"order outstanding for an older state", reordered, 0, ReasonUnread},
@@ -125,11 +126,11 @@
 	}
 }
 
-// TestNoReadWhileWaitingOut: what an engine shows while an old order may
-// still arrive isn't what the first order is planned on.
-func TestNoReadWhileWaitingOut(t *testing.T) {
+// TestNoReadWhileEarlierOrdersInFlight guards against planning the first order on a
+// state that an order of an earlier term can still change.
+func TestNoReadWhileEarlierOrdersInFlight(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingIgnored), is1("1", PhaseReady))
+	p := poolOf(spec(1, "2", FencingIgnored), stateOf("1", PhaseReady))
 	p.SetTerm(lease.Term{Fence: 2}, true, epoch)
 	_, ok := p.NextRead(epoch.Add(4 * time.Second))
 	is.True(!ok)
@@ -137,9 +138,10 @@
 	is.True(ok)
 }
 
-// TestPacing is the table of how many orders go out at once.
+// TestPacing checks how many orders are sent at once, and the reason for sending no
+// more.
 func TestPacing(t *testing.T) {
-	old, done := is1("1", PhaseReady), is1("2", PhaseReady)
+	old, done := stateOf("1", PhaseReady), stateOf("2", PhaseReady)
 	roleOnly := spec(1, "1", FencingChecked)
 	roleOnly.Desired.Role = RolePrefill
 	tests := []struct {
@@ -151,16 +153,16 @@
 		why    Reason
 	}{
 		{"canaries first", spec(1, "2", FencingChecked), repeat(100, old), nil, 2, ReasonCanary},
-		{"one canary there", spec(1, "2", FencingChecked), append(repeat(99, old), done), nil, 1, ReasonCanary},
-		{"canaries there", spec(1, "2", FencingChecked), append(repeat(98, old), done, done), nil, 4, ReasonLoading},
-		{"share out of service", spec(1, "2", FencingChecked), append(repeat(18, old), done, done), nil, 2, ReasonOut},
-		{"unreachable ones are out", spec(1, "2", FencingChecked), append(repeat(18, old), done, done), func(l *Limits) { l.MaxOutShare = 0.05 }, 1, ReasonOut},
+		{"one canary done", spec(1, "2", FencingChecked), append(repeat(99, old), done), nil, 1, ReasonCanary},
+		{"canaries done", spec(1, "2", FencingChecked), append(repeat(98, old), done, done), nil, 4, ReasonMaxLoading},
+		{"maximum share out of service", spec(1, "2", FencingChecked), append(repeat(18, old), done, done), nil, 2, ReasonMaxOut},
+		{"share out of service allows one engine", spec(1, "2", FencingChecked), append(repeat(18, old), done, done), func(l *Limits) { l.MaxOutShare = 0.05 }, 1, ReasonMaxOut},
 		{"a single engine", spec(1, "2", FencingChecked), repeat(1, old), nil, 1, ReasonDone},
-		{"empty engines cost nothing", spec(1, "2", FencingChecked), append(repeat(3, State{Incarnation: 1, Phase: PhaseEmpty}), done, done), nil, 3, ReasonDone},
-		{"weight store's rate", spec(1, "2", FencingChecked), append(repeat(98, old), done, done), func(l *Limits) { l.LoadsPerMinute, l.MaxLoading = 1, 3 }, 3, ReasonLoading},
-		{"loads of an old state count", spec(1, "2", FencingChecked), append(repeat(4, is1("1", PhaseLoading)), append(repeat(90, old), done, done)...), nil, 4, ReasonLoading},
-		{"roles change without the weight store", roleOnly, repeat(40, old), func(l *Limits) { l.LoadsPerMinute, l.Canaries = 0, 0 }, 4, ReasonLoading},
-		{"there already", spec(1, "2", FencingChecked), repeat(5, done), nil, 0, ReasonDone},
+		{"empty engines take no capacity out of service", spec(1, "2", FencingChecked), append(repeat(3, State{Incarnation: 1, Phase: PhaseEmpty}), done, done), nil, 3, ReasonDone},
+		{"lower maximum of loading engines", spec(1, "2", FencingChecked), append(repeat(98, old), done, done), func(l *Limits) { l.LoadsPerMinute, l.MaxLoading = 1, 3 }, 3, ReasonMaxLoading},
+		{"loads of an old state count", spec(1, "2", FencingChecked), append(repeat(4, stateOf("1", PhaseLoading)), append(repeat(90, old), done, done)...), nil, 4, ReasonMaxLoading},
+		{"role change needs no load from the weight store", roleOnly, repeat(40, old), func(l *Limits) { l.LoadsPerMinute, l.Canaries = 0, 0 }, 4, ReasonMaxLoading},
+		{"all engines done", spec(1, "2", FencingChecked), repeat(5, done), nil, 0, ReasonDone},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -169,30 +171,30 @@
 			if tt.limit != nil {
 				tt.limit(&p.limits)
 			}
-			is.Equal(drain(p, epoch), tt.orders)
+			is.Equal(sendAll(p, epoch), tt.orders)
 			is.Equal(p.Waiting(), tt.why)
 		})
 	}
 }
 
-// TestLoadRate: once the burst is used, loads follow the rate.
+// TestLoadRate checks that loads follow the rate once the burst is used up.
 func TestLoadRate(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingChecked), append(repeat(98, is1("1", PhaseReady)), is1("2", PhaseReady), is1("2", PhaseReady))...)
+	p := poolOf(spec(1, "2", FencingChecked), append(repeat(98, stateOf("1", PhaseReady)), stateOf("2", PhaseReady), stateOf("2", PhaseReady))...)
 	p.loads = newBucket(0.1, 1, epoch)
-	is.Equal(drain(p, epoch), 1)
+	is.Equal(sendAll(p, epoch), 1)
 	is.Equal(p.Waiting(), ReasonRate)
-	is.Equal(drain(p, epoch.Add(9*time.Second)), 0)
-	is.Equal(drain(p, epoch.Add(10*time.Second)), 1)
+	is.Equal(sendAll(p, epoch.Add(9*time.Second)), 0)
+	is.Equal(sendAll(p, epoch.Add(10*time.Second)), 1)
 }
 
-// TestCanariesStopTheRollOut: failing first engines stop it and say why; the
-// others are never ordered.
+// TestCanariesStopTheRollOut checks that failing canaries halt the roll-out with
+// their errors in the record, and that the other engines are never ordered.
 func TestCanariesStopTheRollOut(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingChecked), repeat(50, is1("1", PhaseReady))...)
+	p := poolOf(spec(1, "2", FencingChecked), repeat(50, stateOf("1", PhaseReady))...)
 	now := epoch
-	failed := is1("2", PhaseFailed)
+	failed := stateOf("2", PhaseFailed)
 	failed.Error = "no weights"
 	ordered := make(map[string]int)
 	for range 1000 {
@@ -202,8 +204,8 @@
 			continue
 		}
 		ordered[o.ID]++
-		p.Sent(o.ID, nil, now)
-		p.Observe(o.ID, failed, nil, now)
+		p.OrderDone(o.ID, nil, now)
+		p.ReadDone(o.ID, failed, nil, now)
 	}
 	is.Equal(ordered, map[string]int{"e00": 3, "e01": 3}) // MaxAttempts each
 	is.Equal(p.Waiting(), ReasonHalted)
@@ -213,67 +215,68 @@
 	is.Equal(len(r.Errors), 2)
 }
 
-// TestOutcomes is the table of what becomes of one order.
+// TestOutcomes checks how each outcome of an order changes the engine's attempts,
+// retries and class.
 func TestOutcomes(t *testing.T) {
-	failed := is1("2", PhaseFailed)
+	failed := stateOf("2", PhaseFailed)
 	tests := []struct {
 		name     string
 		sent     error
 		state    State
 		after    time.Duration
 		attempts int
-		retry    Retry
+		retry    RetryReason
 		class    class
 	}{
-		{"loaded", nil, is1("2", PhaseReady), time.Second, 0, "", classDone},
-		{"loading", nil, is1("2", PhaseLoading), time.Second, 0, "", classLoading},
+		{"loaded", nil, stateOf("2", PhaseReady), time.Second, 0, "", classDone},
+		{"loading", nil, stateOf("2", PhaseLoading), time.Second, 0, "", classLoading},
 		{"load failed", nil, failed, time.Second, 1, RetryLoadFailed, classFailed},
-		{"answer lost, order taken", ErrUncertain, is1("2", PhaseLoading), time.Second, 0, "", classLoading},
-		{"answer lost, not seen yet", ErrUncertain, is1("1", PhaseReady), 9 * time.Second, 0, "", classLoading},
-		{"answer lost, never seen", ErrUncertain, is1("1", PhaseReady), 10 * time.Second, 1, RetryUnseen, classWrong},
-		{"refused", ErrRefused, is1("1", PhaseReady), time.Second, 1, RetryRefused, classWrong},
-		{"not sent", ErrNotSent, is1("1", PhaseReady), time.Second, 0, RetryNotSent, classWrong},
+		{"response lost, order accepted", ErrUncertain, stateOf("2", PhaseLoading), time.Second, 0, "", classLoading},
+		{"response lost, order not seen yet", ErrUncertain, stateOf("1", PhaseReady), 9 * time.Second, 0, "", classLoading},
+		{"response lost, order never seen", ErrUncertain, stateOf("1", PhaseReady), 10 * time.Second, 1, RetryUnseen, classWrong},
+		{"refused", ErrRefused, stateOf("1", PhaseReady), time.Second, 1, RetryRefused, classWrong},
+		{"not sent", ErrNotSent, stateOf("1", PhaseReady), time.Second, 0, RetryNotSent, classWrong},
 		{"restarted", ErrIncarnation, State{Phase: PhaseEmpty}, time.Second, 0, RetryIncarnation, classWrong},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			p := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
+			p := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
 			o, _, ok := p.NextOrder(epoch)
 			is.True(ok)
-			p.Sent(o.ID, tt.sent, epoch)
-			p.Observe(o.ID, tt.state, nil, epoch.Add(tt.after))
+			p.OrderDone(o.ID, tt.sent, epoch)
+			p.ReadDone(o.ID, tt.state, nil, epoch.Add(tt.after))
 			e := p.engines[o.ID]
 			is.Equal(e.attempts, tt.attempts)
 			is.Equal(e.class(p.spec.Desired), tt.class)
 			if tt.retry != "" {
-				is.Equal(p.retries, map[Retry]int{tt.retry: 1})
+				is.Equal(p.retries, map[RetryReason]int{tt.retry: 1})
 			}
 		})
 	}
 }
 
-// TestDriftIsRepaired: an engine that leaves the desired state is ordered
+// TestDriftIsRepaired checks that an engine that leaves the desired state is ordered
 // again.
 func TestDriftIsRepaired(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingIgnored), is1("2", PhaseReady))
+	p := poolOf(spec(1, "2", FencingIgnored), stateOf("2", PhaseReady))
 	now := epoch.Add(time.Minute)
-	is.Equal(drain(p, now), 0)
-	p.Observe("e00", is1("1", PhaseLoading), nil, now) // an old order arrived
+	is.Equal(sendAll(p, now), 0)
+	p.ReadDone("e00", stateOf("1", PhaseLoading), nil, now) // an order of an earlier term arrived
 	is.Equal(p.retries[RetryDrifted], 1)
-	is.Equal(drain(p, now), 1)
+	is.Equal(sendAll(p, now), 1)
 }
 
-// TestUnreachable: two failed reads in a row put an engine's state in doubt,
-// and it is read less and less often.
+// TestUnreachable checks that two consecutive failed reads discard an engine's state,
+// and that it is then read with backoff.
 func TestUnreachable(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingChecked), is1("2", PhaseReady))
+	p := poolOf(spec(1, "2", FencingChecked), stateOf("2", PhaseReady))
 	down := errors.New("down")
-	p.Observe("e00", State{}, down, epoch)
+	p.ReadDone("e00", State{}, down, epoch)
 	is.Equal(count(p.views()).unknown, 0)
-	p.Observe("e00", State{}, down, epoch)
+	p.ReadDone("e00", State{}, down, epoch)
 	is.Equal(count(p.views()).unknown, 1)
 	_, ok := p.NextRead(epoch.Add(9 * time.Second))
 	is.True(!ok)
@@ -281,37 +284,38 @@
 	is.True(ok)
 }
 
-// TestClaim: a new issuer gives its number to engines that are in the desired
-// state, if they check it, and takes none of them out of service.
-func TestClaim(t *testing.T) {
+// TestRefence checks that a new issuer sends its fencing number to engines that are
+// already in the desired state, if they check it, and takes none out of service.
+func TestRefence(t *testing.T) {
 	is := is.New(t)
 	for kind, want := range map[Fencing]int{FencingChecked: 5, FencingIgnored: 0} {
-		old := is1("2", PhaseReady)
+		old := stateOf("2", PhaseReady)
 		old.Fence = 0
 		p := poolOf(spec(1, "2", kind), repeat(5, old)...)
 		now := epoch.Add(time.Minute)
-		is.Equal(drain(p, now), want)
+		is.Equal(sendAll(p, now), want)
 		is.Equal(count(p.views()).out, 0)
 		is.Equal(p.Waiting(), ReasonDone)
 	}
 }
 
-// TestReadOrder: an engine under an order is read before those overdue.
+// TestReadOrder checks that an engine that is loading is read before engines that
+// have been due for longer.
 func TestReadOrder(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingChecked), is1("2", PhaseReady), is1("2", PhaseLoading))
-	p.Observe("e01", is1("2", PhaseLoading), nil, epoch.Add(40*time.Second))
+	p := poolOf(spec(1, "2", FencingChecked), stateOf("2", PhaseReady), stateOf("2", PhaseLoading))
+	p.ReadDone("e01", stateOf("2", PhaseLoading), nil, epoch.Add(40*time.Second))
 	next, ok := p.NextRead(epoch.Add(42 * time.Second))
 	is.True(ok)
 	is.Equal(next.ID, "e01")
 }
 
-// TestRecordPace: a changed state is recorded at once, progress every
-// RecordEvery.
+// TestRecordPace checks that a changed desired state is recorded at once, and progress
+// every RecordEvery.
 func TestRecordPace(t *testing.T) {
 	is := is.New(t)
-	p := poolOf(spec(1, "2", FencingChecked), is1("1", PhaseReady))
-	p.Observe("e00", is1("2", PhaseReady), nil, epoch)
+	p := poolOf(spec(1, "2", FencingChecked), stateOf("1", PhaseReady))
+	p.ReadDone("e00", stateOf("2", PhaseReady), nil, epoch)
 	_, _, ok := p.NextRecord(epoch.Add(14 * time.Second))
 	is.True(!ok)
 	_, _, ok = p.NextRecord(epoch.Add(15 * time.Second))
@@ -321,6 +325,6 @@
 	is.True(ok)
 	p.RecordFailed(true, epoch)
 	_, _, ok = p.NextRecord(epoch.Add(time.Minute))
-	is.True(!ok) // read it again first
-	is.True(p.RecordUnknown(epoch.Add(5 * time.Second)))
+	is.True(!ok) // the record must be read again first
+	is.True(p.RecordReadDue(epoch.Add(5 * time.Second)))
 }
--- a/orders/record.go
+++ b/orders/record.go
@@ -9,29 +9,29 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Prefix is the root of the issuers' records.
+// Prefix is the store key prefix of the issuers' records.
 const Prefix = "/knapweedgw/orders/"
 
-// DutyPrefix starts the lease duty of each pool's issuer.
+// DutyPrefix is the prefix of the lease duties of the pools' issuers.
 const DutyPrefix = "orders/"
 
-// maxErrors is how many engines' errors a record holds.
+// maxErrors is the maximum number of engines' errors in a record.
 const maxErrors = 5
 
 // Key returns the store key of a pool's record.
 func Key(region, pool string) string { return Prefix + region + "/" + pool }
 
-// Duty returns the lease duty of a pool's issuer.
+// Duty returns the name of the lease that the issuer of a pool holds.
 func Duty(region, pool string) string { return DutyPrefix + region + "/" + pool }
 
-// EngineError is the last failure of one engine.
+// EngineError is the last failure of one engine, with its number of failed orders.
 type EngineError struct {
 	Engine   string `json:"engine"`
 	Attempts int    `json:"attempts"`
 	Error    string `json:"error"`
 }
 
-// Progress counts the engines of a pool by where they stand.
+// Progress counts the engines of a pool by their state relative to the desired one.
 type Progress struct {
 	Engines int `json:"engines"`
 	Done    int `json:"done"`
@@ -41,18 +41,19 @@
 	Unknown int `json:"unknown"`
 }
 
-// Record is what an issuer keeps in the store: the desired state it has begun
-// to bring about, before it sends the first order for it, and how far it is.
+// Record is what an issuer writes to the store: the desired state that it rolls
+// out, written before the first order for it, and the progress.
 type Record struct {
 	Issuer string `json:"issuer"`
 	Fence  int64  `json:"fence"`
 	Spec   Spec   `json:"spec"`
-	// Halted says why the roll-out has stopped; empty if it hasn't.
+	// Halted is the reason why the roll-out was halted; empty if it wasn't.
 	Halted   string        `json:"halted,omitempty"`
 	Waiting  Reason        `json:"waiting,omitempty"`
 	Progress Progress      `json:"progress"`
 	Errors   []EngineError `json:"errors,omitempty"`
-	// WrittenUnix is the issuer's clock in seconds, for the operator only.
+	// WrittenUnix is the issuer's clock at the write in Unix seconds, for display
+	// to operators only.
 	WrittenUnix int64 `json:"written_unix"`
 }
 
@@ -60,54 +61,57 @@
 func ParseRecord(kv store.KV) (Record, error) {
 	var r Record
 	err := json.Unmarshal(kv.Value, &r)
-	return r, errors.Wrapf(err, "orders: %s holds no record; delete the key", kv.Key)
+	return r, errors.Wrapf(err, "orders: the value of %s is not a record; delete the key", kv.Key)
 }
 
-// ledger is what the issuer knows of its pool's record in the store.
-type ledger struct {
-	known    bool
+// recordCache is the issuer's copy of its pool's record in the store.
+type recordCache struct {
+	known    bool  // the fields below match the store as last read or written
 	revision int64 // of the key; 0 if there is none
 	record   Record
-	hash     string
-	next     time.Time // no write before
+	hash     string    // of record.Spec
+	next     time.Time // no read or write before
 	written  time.Time
 }
 
-// behind says that the record is of newer settings than spec.
-func (l *ledger) behind(spec Spec, hash string) bool {
+// behind reports whether the record holds another state, from newer settings than
+// spec.
+func (l *recordCache) behind(spec Spec, hash string) bool {
 	return l.known && l.revision != 0 && l.hash != hash && l.record.Spec.Revision > spec.Revision
 }
 
-// has says that the desired state is on record.
-func (l *ledger) has(hash string) bool { return l.known && l.revision != 0 && l.hash == hash }
+// has reports whether the record holds the desired state with this hash.
+func (l *recordCache) has(hash string) bool { return l.known && l.revision != 0 && l.hash == hash }
 
-// RecordUnknown says that the record must be read before it can be written.
-func (p *Pool) RecordUnknown(now time.Time) bool {
-	return p.active && !p.ledger.known && !now.Before(p.ledger.next)
+// RecordReadDue reports whether the record is to be read now, since it must be read
+// before it can be written.
+func (p *Pool) RecordReadDue(now time.Time) bool {
+	return p.active && !p.recordCache.known && !now.Before(p.recordCache.next)
 }
 
-// RecordRead takes the record as read; revision 0 means that there is none.
-// A roll-out that an earlier issuer stopped stays stopped.
+// RecordRead handles the record as read from the store; revision 0 means that there
+// is none. A roll-out that an earlier issuer halted stays halted.
 func (p *Pool) RecordRead(r Record, revision int64) {
-	p.ledger = ledger{known: true, revision: revision, record: r, hash: r.Spec.Hash()}
-	if r.Halted != "" && p.ledger.hash == p.hash {
+	p.recordCache = recordCache{known: true, revision: revision, record: r, hash: r.Spec.Hash()}
+	if r.Halted != "" && p.recordCache.hash == p.hash {
 		p.halted = r.Halted
 	}
 }
 
-// RecordFailed puts the next read or write of the record off. If uncertain is
-// set, the record must be read again.
+// RecordFailed delays the next read or write of the record by Limits.Backoff. If
+// uncertain is set, the record must be read again before it is written.
 func (p *Pool) RecordFailed(uncertain bool, now time.Time) {
 	if uncertain {
-		p.ledger.known = false
+		p.recordCache.known = false
 	}
-	p.ledger.next = now.Add(p.limits.Backoff)
+	p.recordCache.next = now.Add(p.limits.Backoff)
 }
 
-// NextRecord returns the record to write now and the revision that it
-// replaces. A changed state is written at once, progress every RecordEvery.
+// NextRecord returns the record to write now and the revision that it replaces.
+// A change of the desired state, the term or the halt is due at once, a change of
+// progress at most every RecordEvery.
 func (p *Pool) NextRecord(now time.Time) (r Record, replaces int64, ok bool) {
-	l := &p.ledger
+	l := &p.recordCache
 	if !p.active || p.fenced || !l.known || now.Before(l.next) || l.behind(p.spec, p.hash) {
 		return Record{}, 0, false
 	}
@@ -120,9 +124,9 @@
 	return r, l.revision, true
 }
 
-// RecordWritten notes that the record was written at a revision.
+// RecordWritten handles a successful write of the record at a revision.
 func (p *Pool) RecordWritten(r Record, revision int64, now time.Time) {
-	p.ledger = ledger{known: true, revision: revision, record: r, hash: r.Spec.Hash(), written: now}
+	p.recordCache = recordCache{known: true, revision: revision, record: r, hash: r.Spec.Hash(), written: now}
 }
 
 func (p *Pool) snapshot() Record {
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -12,7 +12,7 @@
 // tickInterval is the time between two ticks of an issuer.
 const tickInterval = 500 * time.Millisecond
 
-// runner contends for one pool's duty and ticks its issuer.
+// runner contends for the lease of one pool and ticks the pool's issuer.
 type runner struct {
 	pool    string
 	region  string
@@ -21,11 +21,11 @@
 	keeper  *lease.Keeper
 	issuer  *Issuer
 
-	seen    *targets.Snapshot
+	seen    *targets.Snapshot // that engines was computed from
 	engines []Target
 
 	quit       chan struct{} // closed to stop
-	done       chan struct{} // closed when nothing is in progress
+	done       chan struct{} // closed when no tick is in progress and none follows
 	stopKeeper context.CancelFunc
 	keeperDone chan struct{}
 }
@@ -49,8 +49,8 @@
 	go r.run()
 }
 
-// run ticks until quit is closed. A tick in progress is finished; each of its
-// calls has a time-out.
+// run ticks until quit is closed. A tick in progress is completed; each of its
+// calls has a timeout.
 func (r *runner) run() {
 	defer close(r.done)
 	tick := time.NewTicker(tickInterval)
@@ -65,7 +65,7 @@
 	}
 }
 
-// current returns the engines of the pool.
+// current returns the engines of the pool in the runner's region.
 func (r *runner) current() []Target {
 	if s := r.targets.Snapshot(); s != r.seen {
 		r.seen = s
@@ -74,12 +74,12 @@
 	return r.engines
 }
 
-// stop finishes the tick in progress, then hands the duty over.
+// stop waits for the tick in progress, then releases the lease.
 func (r *runner) stop(ctx context.Context) {
 	close(r.quit)
 	<-r.done
 	r.stopKeeper()
 	<-r.keeperDone
 	r.keeper.Release(ctx)
-	r.issuer.metrics.forget(r.pool)
+	r.issuer.metrics.deletePool(r.pool)
 }
--- a/orders/service.go
+++ b/orders/service.go
@@ -14,26 +14,26 @@
 	"github.com/knapweedgw/knapweedgw/targets"
 )
 
-// ServiceID is the kernel name of the Service.
+// ServiceID is the kernel ID of the Service.
 const ServiceID kernel.ID = "orders.issuer"
 
-// surveyInterval is the time between two looks at the pools.
+// surveyInterval is the time between two calls of survey.
 const surveyInterval = time.Second
 
-// The reasons for which a pool has no issuer from this node.
+// The reasons reported for a pool without orders or with conflicting settings.
 const (
 	skipConflict  = "settings_conflict"
 	skipNoEngines = "no_engines"
 )
 
-// SettingsSource gives the settings in force, nil before the first are read.
+// SettingsSource returns the settings in force, nil before the first are read.
 type SettingsSource interface{ Snapshot() *settings.Snapshot }
 
-// TargetSource gives the engines.
+// TargetSource returns the current targets, among them the engines.
 type TargetSource interface{ Snapshot() *targets.Snapshot }
 
-// Service runs the issuers of the pools of this node's region for which the
-// node contends.
+// Service runs an issuer for each pool of this node's region whose lease the node
+// contends for.
 type Service struct {
 	deps    Deps
 	lease   lease.Config
@@ -50,9 +50,9 @@
 	stopped  bool
 	runners  map[string]*runner
 	stopping sync.WaitGroup
-	skipped  map[string]string
+	skipped  map[string]string // reason by "reason/pool"
 	snap     *settings.Snapshot
-	specs    map[string]Spec
+	specs    map[string]Spec // by pool, from snap
 }
 
 // NewService returns the service of a node.
@@ -93,10 +93,10 @@
 	pause.Every(ctx, surveyInterval, func(context.Context) { s.survey() })
 }
 
-// Drain implements kernel.Drainer: it hands every duty over.
+// Drain implements kernel.Drainer: it stops the issuers and releases their leases.
 func (s *Service) Drain(ctx context.Context) error { return s.Stop(ctx) }
 
-// Stop implements kernel.Stopper. Orders in progress are finished first.
+// Stop implements kernel.Stopper. Orders in progress are completed first.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.cancel == nil {
 		return nil
@@ -106,14 +106,14 @@
 	s.mu.Lock()
 	s.stopped = true
 	for pool := range s.runners {
-		s.end(ctx, pool)
+		s.stopRunner(ctx, pool)
 	}
 	s.mu.Unlock()
 	s.stopping.Wait()
 	return nil
 }
 
-// survey starts and stops runners as settings, engines and members ask.
+// survey starts and stops runners to match the settings, engines and members.
 func (s *Service) survey() {
 	snap := s.settings.Snapshot()
 	if snap == nil {
@@ -125,32 +125,33 @@
 		return
 	}
 	if snap != s.snap {
-		s.follow(snap)
+		s.applySettings(snap)
 	}
 	view := s.members.View()
 	for pool, spec := range s.specs {
-		s.place(view, pool, spec)
+		s.reconcilePool(view, pool, spec)
 	}
 	for pool := range s.runners {
 		if _, ok := s.specs[pool]; !ok {
-			s.end(context.Background(), pool)
+			s.stopRunner(context.Background(), pool)
 		}
 	}
 }
 
-func (s *Service) follow(snap *settings.Snapshot) {
+// applySettings derives the specs from a new snapshot and reports conflicts.
+func (s *Service) applySettings(snap *settings.Snapshot) {
 	byPool, conflicts := specs(snap)
 	s.snap, s.specs = snap, byPool
 	for pool := range byPool {
-		s.skip(pool, skipConflict, slices.Contains(conflicts, pool))
+		s.reportSkip(pool, skipConflict, slices.Contains(conflicts, pool))
 	}
 }
 
-// place starts, updates or stops the runner of a pool.
-func (s *Service) place(view *membership.View, pool string, spec Spec) {
+// reconcilePool starts, updates or stops the runner of a pool.
+func (s *Service) reconcilePool(view *membership.View, pool string, spec Spec) {
 	r, running := s.runners[pool]
 	empty := len(engines(s.targets.Snapshot().Pool(pool), s.deps.Region)) == 0
-	s.skip(pool, skipNoEngines, empty)
+	s.reportSkip(pool, skipNoEngines, empty)
 	wanted := !empty && contends(view, s.deps.Region, Duty(s.deps.Region, pool), s.deps.Node)
 	switch {
 	case wanted && !running:
@@ -161,26 +162,26 @@
 	case wanted:
 		r.spec.Store(&spec)
 	case running:
-		s.end(context.Background(), pool)
+		s.stopRunner(context.Background(), pool)
 	}
 }
 
-// end stops a runner in the background.
-func (s *Service) end(ctx context.Context, pool string) {
+// stopRunner stops a runner in the background.
+func (s *Service) stopRunner(ctx context.Context, pool string) {
 	r := s.runners[pool]
 	delete(s.runners, pool)
 	s.stopping.Go(func() { r.stop(ctx) })
 }
 
-// skip counts and logs a reason once when it begins to apply to a pool.
-func (s *Service) skip(pool, reason string, applies bool) {
+// reportSkip counts and logs a reason when it starts to apply to a pool.
+func (s *Service) reportSkip(pool, reason string, applies bool) {
 	key := reason + "/" + pool
 	_, was := s.skipped[key]
 	switch {
 	case applies && !was:
 		s.skipped[key] = reason
 		s.deps.Metrics.skipped.WithLabelValues(reason).Inc()
-		s.deps.Log.Warn("pool without orders or with conflicting ones", "pool", pool, "reason", reason)
+		s.deps.Log.Warn("pool has no orders or conflicting settings", "pool", pool, "reason", reason)
 	case !applies:
 		delete(s.skipped, key)
 	}
--- a/orders/specs.go
+++ b/orders/specs.go
@@ -11,13 +11,13 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// contenders is how many nodes contend for a pool's duty: the issuer and a
-// standby.
+// contenders is the number of nodes that contend for the lease of a pool: the
+// issuer and a standby.
 const contenders = 2
 
-// specs returns the desired state of each pool that has one. Of models that
-// share a pool and differ, the one whose team and name come first in the
-// alphabet decides; conflicts names the pools concerned.
+// specs returns the desired state of each pool that has one. If several models
+// share a pool with different desired states, the first in lexical order of team
+// and model name is used; conflicts lists these pools.
 func specs(s *settings.Snapshot) (byPool map[string]Spec, conflicts []string) {
 	byPool = make(map[string]Spec)
 	for _, team := range slices.Sorted(maps.Keys(s.Teams)) {
@@ -59,9 +59,10 @@
 	return s
 }
 
-// contends says whether a node is among those that contend for a duty: the
-// highest by rendezvous hashing among the region's nodes. Views that differ
-// cost store calls; the lease alone decides.
+// contends reports whether a node contends for a duty: it is among the
+// highest-ranked nodes of the region by rendezvous hashing. If the nodes' views of
+// the membership differ, more nodes contend, which costs store calls only: the
+// lease alone decides the issuer.
 func contends(v *membership.View, region, duty, node string) bool {
 	nodes := v.Duty(region)
 	hashes := make([]uint64, len(nodes))
@@ -76,7 +77,8 @@
 	return false
 }
 
-// engines returns the engines of a region that may be ordered.
+// engines returns the engines of a region that orders can be sent to: those that
+// aren't leaving.
 func engines(pool []targets.Target, region string) []Target {
 	var out []Target
 	for _, t := range pool {
--- a/orders/takeover_test.go
+++ b/orders/takeover_test.go
@@ -12,46 +12,47 @@
 	"github.com/knapweedgw/knapweedgw/orders/orderstest"
 )
 
-// TestLastOrderOfAnOldTerm pauses an issuer after the guard of an order that it
-// sends in the last moment of its term, for as long as a new issuer waits. The
-// old order must be the first that the engine applies.
+// TestLastOrderOfAnOldTerm guards against an order of an old term that takes effect
+// after the first order of the new term. The old issuer sends an order 1 ms before
+// the end of its term and is paused after the guard for as long as a new issuer
+// waits; the engine must apply the old order first.
 func TestLastOrderOfAnOldTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		w := newWorld(t, orders.FencingIgnored, 0)
-		w.faulty = false
-		old := w.nodes[0]
-		for _, e := range w.engines {
+		sim := newSimulation(t, orders.FencingIgnored, 0)
+		sim.faulty = false
+		old := sim.nodes[0]
+		for _, e := range sim.engines {
 			e.SetFaults(orderstest.Faults{IgnoreFencing: true})
 		}
-		w.passWhile(old, time.Minute)
-		is.True(w.converged())
+		sim.runOnly(old, time.Minute)
+		is.True(sim.converged())
 
-		client := &orderstest.Client{Engines: w.byAddr()}
+		client := &orderstest.Client{Engines: sim.byAddr()}
 		client.AfterGuard = func() {
-			w.passWhile(old.other, w.limits.OrderTimeout+w.limits.Settle)
+			sim.runOnly(old.other, sim.limits.OrderTimeout+sim.limits.Settle)
 		}
-		old.issuer = w.newIssuer(old, client)
-		before := w.spec
-		w.setVersion(2, orders.FencingIgnored)
+		old.issuer = sim.newIssuer(old, client)
+		before := sim.spec
+		sim.setVersion(2, orders.FencingIgnored)
 		term, ok := old.keeper.Held()
 		is.True(ok)
-		for end := term.Until.Add(-time.Millisecond); w.now.Before(end); {
-			w.now = w.now.Add(min(time.Second, end.Sub(w.now)))
-			old.issuer.Tick(context.Background(), before, w.targets) // without renewing
+		for end := term.Until.Add(-time.Millisecond); sim.now.Before(end); {
+			sim.now = sim.now.Add(min(time.Second, end.Sub(sim.now)))
+			old.issuer.Tick(context.Background(), before, sim.targets) // without renewing the lease
 		}
-		old.issuer.Tick(context.Background(), w.spec, w.targets)
-		fences, _ := w.stale()
+		old.issuer.Tick(context.Background(), sim.spec, sim.targets)
+		fences, _ := sim.stale()
 		is.Equal(fences, 0)
-		w.calm(healing)
-		is.True(w.converged())
+		sim.runWithoutFaults(convergeTimeout)
+		is.True(sim.converged())
 	})
 }
 
-// passWhile lets time pass in which only one node runs.
-func (w *world) passWhile(n *node, d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(min(250*time.Millisecond, end.Sub(w.now)))
+// runOnly advances the time by d while only one node runs.
+func (sim *simulation) runOnly(n *node, d time.Duration) {
+	for end := sim.now.Add(d); sim.now.Before(end); {
+		sim.now = sim.now.Add(min(250*time.Millisecond, end.Sub(sim.now)))
 		n.run()
 	}
 }
