--- a/store/etcd/bench_test.go
+++ b/store/etcd/bench_test.go
@@ -16,10 +16,10 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// countingListener counts the bytes that pass its connections.
+// countingListener counts the bytes that its connections transfer.
 type countingListener struct {
 	net.Listener
-	in, out *atomic.Int64 // of the client
+	in, out *atomic.Int64 // bytes that the client receives and sends
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
@@ -44,8 +44,8 @@
 	return n, err
 }
 
-// BenchmarkCalls measures the time and the client's bytes in and out of each
-// kind of call, by the size of the value.
+// BenchmarkCalls measures the time of each kind of call and the bytes that the client
+// receives and sends, by the size of the value in bytes.
 func BenchmarkCalls(b *testing.B) {
 	ctx := context.Background()
 	for _, size := range []int{100, 1000, 10_000, 100_000} {
--- a/store/etcd/convert.go
+++ b/store/etcd/convert.go
@@ -9,7 +9,7 @@
 	noEnd     = []byte{0}
 )
 
-func toWire(op store.Op) requestOp {
+func opToWire(op store.Op) requestOp {
 	if !op.Delete {
 		return requestOp{RequestPut: &putRequest{Key: []byte(op.Key), Value: op.Value, Lease: int64String(op.Lease)}}
 	}
@@ -20,8 +20,8 @@
 	return requestOp{RequestDeleteRange: del}
 }
 
-// opFromWire is false for an operation that is neither a put, nor a delete of
-// one key or prefix.
+// opFromWire converts an operation. It reports false for one that is neither a put nor
+// a delete of one key or prefix.
 func opFromWire(op requestOp) (store.Op, bool) {
 	if p := op.RequestPut; p != nil {
 		return store.Op{Key: string(p.Key), Value: p.Value, Lease: store.LeaseID(p.Lease)}, true
@@ -37,7 +37,7 @@
 	return store.Op{Key: prefix, Delete: true, Prefix: true}, ok
 }
 
-func fromWire(kv keyValue) store.KV {
+func kvFromWire(kv keyValue) store.KV {
 	return store.KV{
 		Key: string(kv.Key), Value: kv.Value,
 		ModRevision: int64(kv.ModRevision), Lease: store.LeaseID(kv.Lease),
@@ -51,8 +51,7 @@
 	}
 }
 
-// rangeKey returns the start of the key range that holds every key with the
-// prefix.
+// rangeKey returns the start of the range that holds every key with the prefix.
 func rangeKey(prefix string) []byte {
 	if prefix == "" {
 		return lowestKey
@@ -60,7 +59,7 @@
 	return []byte(prefix)
 }
 
-// prefixEnd returns the end of that range, as etcd's
+// prefixEnd returns the exclusive end of that range, as etcd's
 // clientv3.GetPrefixRangeEnd documents.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
--- a/store/etcd/errors.go
+++ b/store/etcd/errors.go
@@ -11,28 +11,29 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// maxErrorBytes bounds what is read of an error's body.
+// maxErrorBytes bounds what is read of the body of an error response.
 const maxErrorBytes = 4 << 10
 
-// gatewayError is the body of a failed call: a gRPC status as the gRPC
-// gateway writes it.
+// gatewayError is the body of an error response: a gRPC status in the encoding of the
+// gRPC gateway.
 type gatewayError struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 }
 
-// refusal is an error that etcd returns before it acts on a request.
-type refusal struct {
+// errorResponse maps an error of a Store to etcd's error response.
+type errorResponse struct {
 	err     error
 	status  int
 	code    int // gRPC status code
 	message string
 }
 
-// refusals are the answers that prove that a write had no effect, as
-// published in etcd's api/v3rpc/rpctypes. A code Unavailable alone doesn't:
-// "etcdserver: request timed out" has it too.
-var refusals = []refusal{
+// rejections are the error responses that prove that a write had no effect, because
+// etcd returns them before executing the request. They are from etcd's
+// api/v3rpc/rpctypes. The code Unavailable alone isn't proof: "etcdserver: request
+// timed out" has it too.
+var rejections = []errorResponse{
 	{store.ErrLeaseNotFound, http.StatusNotFound, 5, "etcdserver: requested lease not found"},
 	{store.ErrValueTooLarge, http.StatusBadRequest, 3, "etcdserver: request is too large"},
 	{store.ErrDuplicateKey, http.StatusBadRequest, 3, "etcdserver: duplicate key given in txn request"},
@@ -41,16 +42,16 @@
 	{store.ErrUnavailable, http.StatusServiceUnavailable, 14, "etcdserver: no leader"},
 }
 
-// uncertain is the answer to a write whose effect isn't known.
-var uncertain = refusal{store.ErrUncertain, http.StatusServiceUnavailable, 14, "etcdserver: request timed out"}
+// uncertain is the response to a write that may have taken effect.
+var uncertain = errorResponse{store.ErrUncertain, http.StatusServiceUnavailable, 14, "etcdserver: request timed out"}
 
-// statusError returns the typed error of a failed call. Only a refusal by
-// etcd itself, or a rate limit, proves that there was no effect.
+// statusError returns the store error for an error response. Only a rejection by etcd
+// itself, or a rate limit (429), proves that the call had no effect.
 func statusError(path string, resp *http.Response) error {
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	var body gatewayError
 	_ = json.Unmarshal(raw, &body)
-	for _, r := range refusals {
+	for _, r := range rejections {
 		if r.message == body.Message {
 			return errors.Wrapf(r.err, "%s: status %d", path, resp.StatusCode)
 		}
@@ -61,8 +62,8 @@
 	return errors.Wrapf(store.ErrUncertain, "%s: status %d: %.200q", path, resp.StatusCode, raw)
 }
 
-// readError turns the uncertain failure of a read into ErrUnavailable: it has
-// no effect to be uncertain of.
+// readError turns ErrUncertain from a read into ErrUnavailable, because a read has no
+// effect.
 func readError(err error) error {
 	if errors.Is(err, store.ErrUncertain) {
 		return errors.Wrapf(store.ErrUnavailable, "%v", err)
@@ -75,9 +76,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// refusalOf returns the answer that a server gives for a store's error.
-func refusalOf(err error) refusal {
-	for _, r := range refusals {
+// errorResponseOf returns the response of the server for an error of its store.
+func errorResponseOf(err error) errorResponse {
+	for _, r := range rejections {
 		if errors.Is(err, r.err) && !(r.err == store.ErrUnavailable && errors.Is(err, store.ErrRateLimited)) {
 			return r
 		}
--- a/store/etcd/etcd.go
+++ b/store/etcd/etcd.go
@@ -1,5 +1,5 @@
-// Package etcd is the store adapter that speaks etcd v3's JSON-over-HTTP
-// mapping (/v3/kv/range, /v3/kv/txn, /v3/lease/*, /v3/watch).
+// Package etcd implements a client and a server of etcd v3's JSON-over-HTTP API
+// (/v3/kv/range, /v3/kv/txn, /v3/lease/*, /v3/watch).
 package etcd
 
 import (
@@ -16,16 +16,17 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// DefaultTimeout bounds one call to the service, waiting watches excepted.
+// DefaultTimeout bounds one call to the service; of a watch, only the time until the
+// service has confirmed it.
 const DefaultTimeout = 2 * time.Second
 
 const (
 	idleConns = 16
-	// maxRestBytes bounds what is read after an answer's JSON.
+	// maxRestBytes bounds what is read of a response after its JSON value.
 	maxRestBytes = 4 << 10
 )
 
-// Client is a store.Store. It is safe for concurrent use.
+// Client is a store.Store backed by an etcd service. It is safe for concurrent use.
 type Client struct {
 	endpoints []string
 	http      *http.Client
@@ -35,7 +36,7 @@
 var _ store.Store = (*Client)(nil)
 
 // New returns a client that uses the first of the endpoints
-// ("http://ip:port") that accepts a connection. No call is sent twice.
+// ("http://ip:port") that accepts a connection. It never sends a call twice.
 func New(endpoints []string, timeout time.Duration) *Client {
 	dialer := net.Dialer{Timeout: timeout / time.Duration(max(1, len(endpoints)))}
 	return &Client{
@@ -71,7 +72,7 @@
 	}
 	page := store.Page{Revision: int64(resp.Header.Revision)}
 	for _, kv := range resp.KVs {
-		page.KVs = append(page.KVs, fromWire(kv))
+		page.KVs = append(page.KVs, kvFromWire(kv))
 	}
 	return page, nil
 }
@@ -88,7 +89,7 @@
 		})
 	}
 	for _, op := range t.Ops {
-		req.Success = append(req.Success, toWire(op))
+		req.Success = append(req.Success, opToWire(op))
 	}
 	var resp txnResponse
 	if err := c.call(ctx, "/v3/kv/txn", req, &resp); err != nil {
@@ -103,7 +104,7 @@
 	var resp leaseResponse
 	err := c.call(ctx, "/v3/lease/grant", leaseGrantRequest{TTL: int64String(seconds)}, &resp)
 	if err == nil && resp.ID == 0 {
-		err = errors.Wrap(store.ErrUncertain, "lease grant: answer without an ID")
+		err = errors.Wrap(store.ErrUncertain, "lease grant: response without an ID")
 	}
 	return store.LeaseID(resp.ID), err
 }
@@ -116,7 +117,7 @@
 	}
 	switch {
 	case resp.Result.ID != int64String(id):
-		return errors.Wrap(store.ErrUncertain, "lease keepalive: answer for another lease")
+		return errors.Wrap(store.ErrUncertain, "lease keepalive: response for another lease")
 	case resp.Result.TTL <= 0:
 		return store.ErrLeaseNotFound
 	}
@@ -129,7 +130,7 @@
 	return c.call(ctx, "/v3/lease/revoke", leaseRequest{ID: int64String(id)}, &resp)
 }
 
-// call posts a request and decodes the answer within the client's timeout.
+// call posts a request and decodes the response within the client's timeout.
 func (c *Client) call(ctx context.Context, path string, req, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -137,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	defer finish(resp.Body)
+	defer drainAndClose(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return statusError(path, resp)
 	}
@@ -147,16 +148,16 @@
 	return nil
 }
 
-// finish closes a body whose end it reads, so that the connection can be used
-// again.
-func finish(body io.ReadCloser) {
+// drainAndClose reads the rest of a body and closes it, so that the connection can be
+// reused.
+func drainAndClose(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxRestBytes)
 	_ = body.Close()
 }
 
-// post sends a request to the first endpoint that accepts a connection. A
-// failure to connect is ErrUnavailable; any later failure is ErrUncertain,
-// for the service may have acted.
+// post sends a request to the first endpoint that accepts a connection. A failure to
+// connect is ErrUnavailable; any later failure is ErrUncertain, because the service
+// may have executed the request.
 func (c *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/store/etcd/etcd_test.go
+++ b/store/etcd/etcd_test.go
@@ -18,7 +18,7 @@
 	"github.com/knapweedgw/knapweedgw/store/storetest"
 )
 
-// callTimeout is long, so that no verdict depends on it.
+// callTimeout is long, so that a passing test never reaches it.
 const callTimeout = time.Minute
 
 func serve(t *testing.T, s *memory.Store) string {
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestConnectionIsReused checks that answers of any size, and refusals, leave
-// the connection to the next call.
+// TestConnectionIsReused checks that the next call reuses the connection after
+// responses of any size and after error responses.
 func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/store/etcd/faults_test.go
+++ b/store/etcd/faults_test.go
@@ -17,11 +17,11 @@
 	"github.com/knapweedgw/knapweedgw/store/etcd"
 )
 
-// shortTimeout ends the calls that are meant to time out.
+// shortTimeout is the timeout of the calls that are expected to time out.
 const shortTimeout = 50 * time.Millisecond
 
-// answer is a server's whole answer to any call.
-func answer(status int, body string) http.HandlerFunc {
+// respond returns a handler that sends the same response to every call.
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -29,14 +29,14 @@
 	}
 }
 
-// hang reads the request and never answers.
+// hang reads the request and never responds.
 func hang(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// cut ends the connection inside the answer.
-func cut(w http.ResponseWriter, r *http.Request) {
+// truncate closes the connection in the middle of the response.
+func truncate(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set("Content-Length", "1000")
 	_, _ = io.WriteString(w, `{"header":{"revision":"7"},"succe`)
@@ -44,8 +44,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drop ends the connection without an answer.
-func drop(_ http.ResponseWriter, r *http.Request) {
+// disconnect closes the connection without a response.
+func disconnect(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
@@ -53,26 +53,26 @@
 func TestFailures(t *testing.T) {
 	tests := map[string]struct {
 		handler     http.HandlerFunc
-		write, read error // what a write and a read must return
+		write, read error // the errors that a write and a read must return
 		timeout     time.Duration
 	}{
-		"no leader":                  {handler: answer(503, `{"code":14,"message":"etcdserver: no leader"}`), write: store.ErrUnavailable, read: store.ErrUnavailable},
-		"timed out inside etcd":      {handler: answer(503, `{"code":14,"message":"etcdserver: request timed out"}`), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"503 of a proxy":             {handler: answer(503, "upstream connect error"), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"504 of a proxy":             {handler: answer(504, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"500":                        {handler: answer(500, "{}"), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"redirect":                   {handler: answer(307, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"rate limit of etcd":         {handler: answer(429, `{"code":8,"message":"etcdserver: too many requests"}`), write: store.ErrRateLimited, read: store.ErrRateLimited},
-		"rate limit of a proxy":      {handler: answer(429, "slow down"), write: store.ErrRateLimited, read: store.ErrRateLimited},
-		"request too large for etcd": {handler: answer(400, `{"code":3,"message":"etcdserver: request is too large"}`), write: store.ErrValueTooLarge, read: store.ErrValueTooLarge},
-		"lease lapsed":               {handler: answer(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), write: store.ErrLeaseNotFound, read: store.ErrLeaseNotFound},
-		"404 of a proxy":             {handler: answer(404, "no route"), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"garbage":                    {handler: answer(200, "<html>"), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"empty answer":               {handler: answer(200, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"wrong type":                 {handler: answer(200, `{"header":{"revision":"seven"}}`), write: store.ErrUncertain, read: store.ErrUnavailable},
-		"cut inside the answer":      {handler: cut, write: store.ErrUncertain, read: store.ErrUnavailable},
-		"dropped":                    {handler: drop, write: store.ErrUncertain, read: store.ErrUnavailable},
-		"no answer in time":          {handler: hang, write: store.ErrUncertain, read: store.ErrUnavailable, timeout: shortTimeout},
+		"no leader":                  {handler: respond(503, `{"code":14,"message":"etcdserver: no leader"}`), write: store.ErrUnavailable, read: store.ErrUnavailable},
+		"timed out inside etcd":      {handler: respond(503, `{"code":14,"message":"etcdserver: request timed out"}`), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"503 of a proxy":             {handler: respond(503, "upstream connect error"), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"504 of a proxy":             {handler: respond(504, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"500":                        {handler: respond(500, "{}"), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"redirect":                   {handler: respond(307, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"rate limit of etcd":         {handler: respond(429, `{"code":8,"message":"etcdserver: too many requests"}`), write: store.ErrRateLimited, read: store.ErrRateLimited},
+		"rate limit of a proxy":      {handler: respond(429, "slow down"), write: store.ErrRateLimited, read: store.ErrRateLimited},
+		"request too large for etcd": {handler: respond(400, `{"code":3,"message":"etcdserver: request is too large"}`), write: store.ErrValueTooLarge, read: store.ErrValueTooLarge},
+		"lease not found":            {handler: respond(404, `{"code":5,"message":"etcdserver: requested lease not found"}`), write: store.ErrLeaseNotFound, read: store.ErrLeaseNotFound},
+		"404 of a proxy":             {handler: respond(404, "no route"), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"not JSON":                   {handler: respond(200, "<html>"), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"empty response":             {handler: respond(200, ""), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"wrong type":                 {handler: respond(200, `{"header":{"revision":"seven"}}`), write: store.ErrUncertain, read: store.ErrUnavailable},
+		"truncated response":         {handler: truncate, write: store.ErrUncertain, read: store.ErrUnavailable},
+		"closed without response":    {handler: disconnect, write: store.ErrUncertain, read: store.ErrUnavailable},
+		"timeout":                    {handler: hang, write: store.ErrUncertain, read: store.ErrUnavailable, timeout: shortTimeout},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,13 +87,14 @@
 				timeout = tt.timeout
 			}
 			c := etcd.New([]string{srv.URL, srv.URL}, timeout)
-			check(t, c, tt.write, tt.read, &calls)
+			checkCalls(t, c, tt.write, tt.read, &calls)
 		})
 	}
 }
 
-// check makes each kind of call once; every call must reach the service once.
-func check(t *testing.T, c *etcd.Client, write, read error, calls *atomic.Int64) {
+// checkCalls makes each kind of call once, and checks its error and that the service
+// received it once.
+func checkCalls(t *testing.T, c *etcd.Client, write, read error, calls *atomic.Int64) {
 	ctx := context.Background()
 	kinds := map[string]struct {
 		call func() error
@@ -127,6 +128,8 @@
 	return "http://" + ln.Addr().String()
 }
 
+// TestRefusedConnection checks that a call that no endpoint accepts is known to have
+// had no effect.
 func TestRefusedConnection(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -145,7 +148,7 @@
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
-		answer(200, `{"header":{"revision":"7"},"succeeded":true}`)(w, r)
+		respond(200, `{"header":{"revision":"7"},"succeeded":true}`)(w, r)
 	}))
 	defer srv.Close()
 	c := etcd.New([]string{closedURL(t), srv.URL}, callTimeout)
@@ -156,8 +159,8 @@
 	is.Equal(calls.Load(), int64(1))
 }
 
-// TestWatchAnswers checks what a watch makes of what etcd sends.
-func TestWatchAnswers(t *testing.T) {
+// TestWatchResponses checks the first batch of a watch for each kind of response of etcd.
+func TestWatchResponses(t *testing.T) {
 	const created = `{"result":{"header":{"revision":"9"},"created":true}}` + "\n"
 	const event = `{"result":{"header":{"revision":"50"},"events":[{"kv":{"key":"aw==","value":"dg==","mod_revision":"12"}}]}}` + "\n"
 	tests := map[string]struct {
@@ -165,32 +168,32 @@
 		revision int64 // of the first batch
 		err      error // of the first batch
 	}{
-		"header ahead of the events": {created + event, 12, nil},
-		"progress is no change":      {created + `{"result":{"header":{"revision":"40"}}}` + event, 12, nil},
-		"compacted":                  {created + `{"result":{"canceled":true,"compact_revision":"30"}}`, 30, store.ErrCompacted},
-		"canceled":                   {created + `{"result":{"canceled":true,"cancel_reason":"no leader"}}`, 0, store.ErrUnavailable},
-		"gateway error":              {created + `{"error":{"code":14,"message":"no leader"}}`, 0, store.ErrUnavailable},
-		"cut":                        {created + event[:40], 0, store.ErrUnavailable},
-		"end":                        {created, 0, store.ErrUnavailable},
+		"header revision ahead of the events": {created + event, 12, nil},
+		"progress response without events":    {created + `{"result":{"header":{"revision":"40"}}}` + event, 12, nil},
+		"compacted":                           {created + `{"result":{"canceled":true,"compact_revision":"30"}}`, 30, store.ErrCompacted},
+		"canceled":                            {created + `{"result":{"canceled":true,"cancel_reason":"no leader"}}`, 0, store.ErrUnavailable},
+		"gateway error":                       {created + `{"error":{"code":14,"message":"no leader"}}`, 0, store.ErrUnavailable},
+		"truncated event":                     {created + event[:40], 0, store.ErrUnavailable},
+		"end of the body":                     {created, 0, store.ErrUnavailable},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			srv := httptest.NewServer(answer(200, tt.body))
+			srv := httptest.NewServer(respond(200, tt.body))
 			defer srv.Close()
 			ch, err := etcd.New([]string{srv.URL}, callTimeout).Watch(context.Background(), "k", 10)
 			is.NoErr(err)
 			b := <-ch
 			is.True(errors.Is(b.Err, tt.err) || tt.err == nil && b.Err == nil)
 			is.Equal(b.Revision, tt.revision)
-			for range ch { // drained: the end of the body ends the watch
+			for range ch { // until the end of the body closes the channel
 			}
 		})
 	}
 }
 
-// TestRangeHeader checks that a read tells the store's revision, as etcd
-// does, and not the key's.
+// TestRangeHeader checks that a read of one key returns the store's revision, as etcd
+// does, and not that of the key.
 func TestRangeHeader(t *testing.T) {
 	is := is.New(t)
 	s := newStoreAt(t, "a", "b", "c")
--- a/store/etcd/fuzz_test.go
+++ b/store/etcd/fuzz_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// FuzzAnswers feeds the decoder of every answer. A watch's batch must survive
-// being encoded and decoded again.
-func FuzzAnswers(f *testing.F) {
+// FuzzResponses decodes generated responses of every type. A batch of a watch must be
+// equal after it is encoded and decoded again.
+func FuzzResponses(f *testing.F) {
 	for _, seed := range []string{
 		`{"header":{"revision":"7"},"kvs":[{"key":"aw==","value":"dg==","mod_revision":"7","lease":"3"}]}`,
 		`{"header":{"revision":7},"succeeded":true}`,
@@ -25,8 +25,8 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, answer := range []any{&rangeResponse{}, &txnResponse{}, &leaseResponse{}, &keepAliveResponse{}} {
-			_ = json.Unmarshal(raw, answer)
+		for _, resp := range []any{&rangeResponse{}, &txnResponse{}, &leaseResponse{}, &keepAliveResponse{}} {
+			_ = json.Unmarshal(raw, resp)
 		}
 		var w watchResponse
 		if json.Unmarshal(raw, &w) != nil {
--- a/store/etcd/server.go
+++ b/store/etcd/server.go
@@ -12,21 +12,21 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// maxRequestBytes bounds a request: a value of the largest size in base64,
-// and room for others.
+// maxRequestBytes bounds the body of a request: a value of the largest size in
+// base64, and space for others.
 const maxRequestBytes = 4 * store.MaxValueBytes
 
 // invalidArgument is the gRPC status code of a malformed request.
 const invalidArgument = 3
 
-// Server serves a store.Store over the same JSON mapping that Client speaks.
-// The laboratory's platform and the contract tests use it.
+// Server serves a store.Store over the JSON API that Client uses. The simulated
+// platform in lab/platform and the contract tests use it.
 type Server struct{ store store.Store }
 
 // NewServer returns a server of s.
 func NewServer(s store.Store) *Server { return &Server{store: s} }
 
-// revisioner is a store that knows its revision.
+// revisioner is implemented by stores that can return their revision.
 type revisioner interface{ Revision() int64 }
 
 // Routes adds the /v3 paths to ws.
@@ -49,23 +49,23 @@
 	var err error
 	switch {
 	case req.RangeEnd == nil:
-		page, err = s.single(r, string(req.Key))
+		page, err = s.readKey(r, string(req.Key))
 	case isPrefix:
 		page, err = s.store.List(r.Request.Context(), prefix)
 	default:
-		refuseRange(w)
+		rejectRange(w)
 		return
 	}
 	resp := rangeResponse{Header: header{int64String(page.Revision)}}
 	for _, kv := range page.KVs {
 		resp.KVs = append(resp.KVs, kvToWire(kv))
 	}
-	reply(w, resp, err)
+	writeResponse(w, resp, err)
 }
 
-// single reads one key. The revision is read first, so that a change after
-// the read is never at or before it.
-func (s *Server) single(r *restful.Request, key string) (store.Page, error) {
+// readKey reads one key. It reads the store's revision first, so that any change after
+// the read has a greater revision.
+func (s *Server) readKey(r *restful.Request, key string) (store.Page, error) {
 	var page store.Page
 	if rs, ok := s.store.(revisioner); ok {
 		page.Revision = rs.Revision()
@@ -95,13 +95,13 @@
 	for _, op := range req.Success {
 		o, ok := opFromWire(op)
 		if !ok {
-			refuseRange(w)
+			rejectRange(w)
 			return
 		}
 		t.Ops = append(t.Ops, o)
 	}
 	rev, ok, err := s.store.Commit(r.Request.Context(), t)
-	reply(w, txnResponse{Header: header{int64String(rev)}, Succeeded: ok}, err)
+	writeResponse(w, txnResponse{Header: header{int64String(rev)}, Succeeded: ok}, err)
 }
 
 func (s *Server) serveGrant(r *restful.Request, w *restful.Response) {
@@ -110,7 +110,7 @@
 		return
 	}
 	id, err := s.store.Grant(r.Request.Context(), time.Duration(req.TTL)*time.Second)
-	reply(w, leaseResponse{ID: int64String(id), TTL: req.TTL}, err)
+	writeResponse(w, leaseResponse{ID: int64String(id), TTL: req.TTL}, err)
 }
 
 func (s *Server) serveKeepAlive(r *restful.Request, w *restful.Response) {
@@ -123,7 +123,7 @@
 	if errors.Is(err, store.ErrLeaseNotFound) {
 		resp.Result.TTL, err = 0, nil
 	}
-	reply(w, resp, err)
+	writeResponse(w, resp, err)
 }
 
 func (s *Server) serveRevoke(r *restful.Request, w *restful.Response) {
@@ -131,7 +131,7 @@
 	if !decode(r, w, &req) {
 		return
 	}
-	reply(w, leaseResponse{}, s.store.Revoke(r.Request.Context(), store.LeaseID(req.ID)))
+	writeResponse(w, leaseResponse{}, s.store.Revoke(r.Request.Context(), store.LeaseID(req.ID)))
 }
 
 func (s *Server) serveWatch(r *restful.Request, w *restful.Response) {
@@ -142,12 +142,12 @@
 	create := req.CreateRequest
 	prefix, ok := prefixOf(create.Key, create.RangeEnd)
 	if !ok {
-		refuseRange(w)
+		rejectRange(w)
 		return
 	}
 	batches, err := s.store.Watch(r.Request.Context(), prefix, int64(create.StartRevision))
 	if err != nil {
-		reply(w, nil, err)
+		writeResponse(w, nil, err)
 		return
 	}
 	rc := http.NewResponseController(w.ResponseWriter)
@@ -162,6 +162,8 @@
 	}
 }
 
+// decode decodes the body of a request. It reports false after it has sent an error
+// response.
 func decode(r *restful.Request, w *restful.Response, v any) bool {
 	body := http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxRequestBytes)
 	if err := json.NewDecoder(body).Decode(v); err != nil {
@@ -171,13 +173,13 @@
 	return true
 }
 
-func refuseRange(w *restful.Response) {
+func rejectRange(w *restful.Response) {
 	writeError(w.ResponseWriter, http.StatusBadRequest, invalidArgument, "range is neither one key nor a prefix")
 }
 
-func reply(w *restful.Response, v any, err error) {
+func writeResponse(w *restful.Response, v any, err error) {
 	if err != nil {
-		r := refusalOf(err)
+		r := errorResponseOf(err)
 		writeError(w.ResponseWriter, r.status, r.code, r.message)
 		return
 	}
@@ -185,7 +187,8 @@
 	_ = json.NewEncoder(w.ResponseWriter).Encode(v)
 }
 
-// prefixOf returns the prefix that a key range stands for.
+// prefixOf returns the prefix whose keys are the range from key to end; ok is false
+// if there is none.
 func prefixOf(key, end []byte) (string, bool) {
 	prefix := string(key)
 	if bytes.Equal(key, lowestKey) && bytes.Equal(end, noEnd) {
--- a/store/etcd/watch.go
+++ b/store/etcd/watch.go
@@ -12,15 +12,15 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Watch implements store.Store. It returns when the service has confirmed the
-// watch, within the client's timeout.
+// Watch implements store.Store. It returns once the service has confirmed the watch,
+// or with an error if that takes longer than the client's timeout.
 func (c *Client) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
 	req := watchRequest{CreateRequest: watchCreateRequest{
 		Key: rangeKey(prefix), RangeEnd: prefixEnd(prefix), StartRevision: int64String(from),
 	}}
-	watching, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(c.timeout, cancel)
-	w, err := c.openWatch(watching, req)
+	w, err := c.openWatch(streamCtx, req)
 	if err != nil {
 		cancel()
 		return nil, readError(err)
@@ -38,7 +38,7 @@
 	return out, nil
 }
 
-// watchStream reads the answers to one watch.
+// watchStream reads the responses of one watch.
 type watchStream struct {
 	body io.ReadCloser
 	dec  *json.Decoder
@@ -91,9 +91,9 @@
 	return batchFromWire(resp)
 }
 
-// batchFromWire reads one answer. The header's revision is the store's and
-// may be ahead of the events still to come, so the batch's is that of its
-// last event.
+// batchFromWire converts one response. The revision in the header is the store's and
+// may be ahead of events that follow in later responses, so the batch gets the
+// revision of its last event.
 func batchFromWire(resp watchResponse) store.Batch {
 	r := resp.Result
 	switch {
@@ -106,7 +106,7 @@
 	}
 	var b store.Batch
 	for _, e := range r.Events {
-		b.Events = append(b.Events, store.Event{KV: fromWire(e.KV), Deleted: e.Type == eventDelete})
+		b.Events = append(b.Events, store.Event{KV: kvFromWire(e.KV), Deleted: e.Type == eventDelete})
 		b.Revision = int64(e.KV.ModRevision)
 	}
 	return b
--- a/store/etcd/wire_test.go
+++ b/store/etcd/wire_test.go
@@ -16,7 +16,8 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// newStoreAt returns the URL of a served store after one put of each key.
+// newStoreAt serves a new store, into which each key was put once, and returns its
+// URL.
 func newStoreAt(t *testing.T, keys ...string) string {
 	s := memory.New(time.Now)
 	for _, k := range keys {
@@ -35,18 +36,18 @@
 
 func rangeRevision(t *testing.T, url, key string) string {
 	body := `{"key":"` + base64.StdEncoding.EncodeToString([]byte(key)) + `"}`
-	var answer struct {
+	var resp struct {
 		Header struct {
 			Revision string `json:"revision"`
 		} `json:"header"`
 	}
-	is.New(t).NoErr(json.NewDecoder(post(t, url+"/v3/kv/range", body).Body).Decode(&answer))
-	return answer.Header.Revision
+	is.New(t).NoErr(json.NewDecoder(post(t, url+"/v3/kv/range", body).Body).Decode(&resp))
+	return resp.Header.Revision
 }
 
-// TestServerRefusals checks that the server refuses what it doesn't serve,
-// with etcd's status and body.
-func TestServerRefusals(t *testing.T) {
+// TestServerRejections checks that the server rejects requests that it doesn't support,
+// with etcd's status and error body.
+func TestServerRejections(t *testing.T) {
 	url := newStoreAt(t)
 	tests := map[string]struct{ path, body string }{
 		"not JSON":         {"/v3/kv/range", "{"},
--- a/store/etcd/wire_types.go
+++ b/store/etcd/wire_types.go
@@ -6,9 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The messages below follow etcd v3's JSON mapping (etcdserverpb over the
-// gRPC gateway): bytes are base64, 64-bit integers are strings.
+// The types below follow etcd v3's JSON mapping (etcdserverpb over the gRPC gateway):
+// bytes are base64, 64-bit integers are strings.
 
+// int64String is a 64-bit integer that is encoded as a JSON string. A JSON number is
+// decoded too.
 type int64String int64
 
 func (i int64String) MarshalJSON() ([]byte, error) {
@@ -109,7 +111,7 @@
 	StartRevision int64String `json:"start_revision,omitempty"`
 }
 
-// The types of watch events; etcd's JSON leaves PUT, the default, out.
+// The types of watch events; etcd's JSON omits PUT, which is the default.
 const (
 	eventPut    = "PUT"
 	eventDelete = "DELETE"
--- a/store/memory/history.go
+++ b/store/memory/history.go
@@ -7,22 +7,22 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Bounds of the history that a store keeps for its watches; a watch that lags
-// behind it ends with store.ErrCompacted.
+// Default bounds of the history that a store keeps for its watches, in events and in
+// bytes; a watch that lags behind the history ends with store.ErrCompacted.
 const (
 	DefaultHistoryEvents = 10_000
 	DefaultHistoryBytes  = 64 << 20
 )
 
-// history is the latest events, ordered by revision and bounded by their
-// number and bytes.
+// history holds the latest events, ordered by revision and bounded by their number
+// and bytes.
 type history struct {
 	maxEvents, maxBytes int
 
 	events    []store.Event
 	bytes     int
 	newest    int64 // revision of the last event
-	compacted int64 // newest revision that was forgotten
+	compacted int64 // newest revision whose events were dropped
 }
 
 func eventBytes(e store.Event) int { return len(e.KV.Key) + len(e.KV.Value) }
@@ -33,20 +33,20 @@
 	h.newest = revision
 }
 
-// trim forgets the oldest revisions until the bounds hold; it keeps the
-// newest one whole.
+// trim drops the oldest revisions until the bounds hold, but never the newest
+// revision.
 func (h *history) trim() {
 	for len(h.events) > h.maxEvents || h.bytes > h.maxBytes {
 		oldest := h.events[0].KV.ModRevision
 		if oldest == h.newest {
 			return
 		}
-		h.forget(oldest)
+		h.compact(oldest)
 	}
 }
 
-// forget drops the events up to a revision.
-func (h *history) forget(revision int64) {
+// compact drops the events up to and including a revision.
+func (h *history) compact(revision int64) {
 	n := h.index(revision + 1)
 	for _, e := range h.events[:n] {
 		h.bytes -= eventBytes(e)
--- a/store/memory/history_test.go
+++ b/store/memory/history_test.go
@@ -12,6 +12,8 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
+// TestHistoryIsBounded checks both bounds of the history, and that a watch from a
+// dropped revision returns the oldest revision that it can start from.
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -28,7 +30,7 @@
 	for range 100 {
 		put(400)
 	}
-	is.Equal(len(s.history.events), 2) // by bytes
+	is.Equal(len(s.history.events), 2) // bounded by bytes: two values of 400 bytes fit into 1000
 	put(5000)
 	is.Equal(len(s.history.events), 1) // the newest revision is always kept
 	is.Equal(s.history.bytes, 5001)
@@ -40,8 +42,8 @@
 	is.Equal(b.Revision, s.revision)
 }
 
-// BenchmarkCommit measures a put while leases are held and watches wait under
-// another prefix.
+// BenchmarkCommit measures a put with many leases, and with many watches on another
+// prefix.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []struct{ leases, watches int }{{0, 0}, {10_000, 0}, {0, 370}} {
 		b.Run(fmt.Sprintf("leases=%d,watches=%d", size.leases, size.watches), func(b *testing.B) {
--- a/store/memory/lease.go
+++ b/store/memory/lease.go
@@ -14,8 +14,8 @@
 	keys    map[string]bool
 }
 
-// leaseTable holds the leases and the keys attached to each. earliest is no
-// later than the first expiry, so that most calls need no scan.
+// leaseTable holds the leases and the keys attached to each. earliest is a lower bound
+// of the first expiry, so that most calls need no scan of the leases.
 type leaseTable struct {
 	leases   map[store.LeaseID]*lease
 	last     store.LeaseID
@@ -47,9 +47,8 @@
 	return nil
 }
 
-// lapsed returns the leases that expired before now, in the order of their
-// grant.
-func (t *leaseTable) lapsed(now time.Time) []store.LeaseID {
+// expired returns the leases that expired before now, in the order of their grants.
+func (t *leaseTable) expired(now time.Time) []store.LeaseID {
 	if len(t.leases) == 0 || !now.After(t.earliest) {
 		return nil
 	}
@@ -66,8 +65,8 @@
 	return ids
 }
 
-// drop removes a lease and returns its keys, in order.
-func (t *leaseTable) drop(id store.LeaseID) []string {
+// remove deletes a lease and returns its keys, in order.
+func (t *leaseTable) remove(id store.LeaseID) []string {
 	keys := slices.Sorted(maps.Keys(t.leases[id].keys))
 	delete(t.leases, id)
 	return keys
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -1,6 +1,6 @@
-// Package memory is a store.Store in memory with the revisions, leases and
-// watches of etcd v3. The laboratory's platform serves it; tests use it as a
-// fake.
+// Package memory implements an in-memory store.Store with the revisions, leases and
+// watches of etcd v3. The simulated platform in lab/platform serves it over HTTP;
+// tests use it as a fake.
 package memory
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Store is a store.Store. It is safe for concurrent use. Values that it
-// returns must not be modified.
+// Store is an in-memory store.Store. It is safe for concurrent use. Callers must not
+// modify the values that it returns.
 type Store struct {
 	now func() time.Time
 
 	mu       sync.Mutex
-	changed  *sync.Cond
+	changed  *sync.Cond // signals a new revision, a compaction or the end of a watch
 	revision int64
 	kvs      map[string]store.KV
 	leases   leaseTable
@@ -29,7 +29,7 @@
 
 var _ store.Store = (*Store)(nil)
 
-// New returns an empty store whose leases follow the given clock.
+// New returns an empty store whose leases expire by the given clock.
 func New(now func() time.Time) *Store {
 	s := &Store{
 		now:     now,
@@ -41,7 +41,7 @@
 	return s
 }
 
-// Revision returns the store's revision.
+// Revision returns the store's current revision.
 func (s *Store) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +82,8 @@
 	return keys
 }
 
-// Commit implements store.Store. As in etcd, a transaction that changes
-// nothing leaves the revision as it is.
+// Commit implements store.Store. As in etcd, a transaction that changes nothing
+// doesn't increment the revision.
 func (s *Store) Commit(_ context.Context, t store.Txn) (int64, bool, error) {
 	if err := t.Validate(); err != nil {
 		return 0, false, err
@@ -101,7 +101,7 @@
 			return s.revision, false, store.ErrLeaseNotFound
 		}
 	}
-	s.change(func(revision int64) {
+	s.update(func(revision int64) {
 		for _, op := range t.Ops {
 			s.apply(op, revision)
 		}
@@ -109,9 +109,9 @@
 	return s.revision, true, nil
 }
 
-// change runs f for the next revision, and begins that revision if f recorded
-// an event.
-func (s *Store) change(f func(revision int64)) {
+// update runs f with the next revision. If f has recorded an event, that revision
+// becomes the current one.
+func (s *Store) update(f func(revision int64)) {
 	next := s.revision + 1
 	f(next)
 	if s.history.newest != next {
@@ -176,12 +176,13 @@
 	if !s.leases.has(id) {
 		return store.ErrLeaseNotFound
 	}
-	s.drop(id)
+	s.deleteLease(id)
 	return nil
 }
 
-// Expire deletes the keys of lapsed leases and wakes the watches. Every call
-// does so first; a server calls it on a timer as well.
+// Expire deletes the expired leases with their keys and wakes the watches. Every call
+// that depends on leases does so first; a server also calls Expire periodically, so
+// that watches see the deletions without a call.
 func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,25 +190,26 @@
 }
 
 func (s *Store) expire() {
-	for _, id := range s.leases.lapsed(s.now()) {
-		s.drop(id)
+	for _, id := range s.leases.expired(s.now()) {
+		s.deleteLease(id)
 	}
 }
 
-func (s *Store) drop(id store.LeaseID) {
-	keys := s.leases.drop(id)
-	s.change(func(revision int64) {
+// deleteLease deletes a lease and its keys at one revision.
+func (s *Store) deleteLease(id store.LeaseID) {
+	keys := s.leases.remove(id)
+	s.update(func(revision int64) {
 		for _, key := range keys {
 			s.remove(key, revision)
 		}
 	})
 }
 
-// Compact forgets the history up to the current revision, so that watches
-// from an older one end with store.ErrCompacted.
+// Compact drops the history up to and including the current revision, so that a watch
+// from one of these revisions ends with store.ErrCompacted.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history.forget(s.revision)
+	s.history.compact(s.revision)
 	s.changed.Broadcast()
 }
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -9,7 +9,7 @@
 	"github.com/knapweedgw/knapweedgw/store/storetest"
 )
 
-// clock is moved by hand.
+// clock is a manually advanced clock.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
--- a/store/memory/model_test.go
+++ b/store/memory/model_test.go
@@ -15,7 +15,8 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// model is the simplest store that could be right: every call copies a map.
+// model is a simple reference implementation of the store: commit copies the whole
+// map.
 type model struct {
 	kvs      map[string]store.KV
 	expires  map[store.LeaseID]time.Time
@@ -24,7 +25,7 @@
 
 const modelTTL = 10 * time.Second
 
-// commit puts the transaction's result in place if the compares hold.
+// commit applies the transaction if the compares hold, and reports whether they did.
 func (m *model) commit(t store.Txn) bool {
 	for _, c := range t.Compares {
 		if m.kvs[c.Key].ModRevision != c.ModRevision {
@@ -52,8 +53,8 @@
 	return true
 }
 
-// end drops a lease and its keys at one revision.
-func (m *model) end(id store.LeaseID) {
+// revoke deletes a lease and its keys at one revision.
+func (m *model) revoke(id store.LeaseID) {
 	delete(m.expires, id)
 	before := len(m.kvs)
 	maps.DeleteFunc(m.kvs, func(_ string, kv store.KV) bool { return kv.Lease == id })
@@ -65,7 +66,7 @@
 func (m *model) expire(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(m.expires)) {
 		if now.After(m.expires[id]) {
-			m.end(id)
+			m.revoke(id)
 		}
 	}
 }
@@ -78,8 +79,8 @@
 	return kvs
 }
 
-// drawTxn draws a transaction over few keys, so that they collide often.
-func drawTxn(t *rapid.T, m *model) store.Txn {
+// generateTxn generates a transaction on a few keys, so that keys often overlap.
+func generateTxn(t *rapid.T, m *model) store.Txn {
 	key := rapid.SampledFrom([]string{"a", "ab", "b/1", "b/2", "b/"})
 	leases := append([]store.LeaseID{0}, slices.Sorted(maps.Keys(m.expires))...)
 	var txn store.Txn
@@ -101,7 +102,9 @@
 	return txn
 }
 
-func TestStoreFollowsModel(t *testing.T) {
+// TestStoreMatchesModel checks the store against the model with generated calls, and
+// that a watch from the first revision yields the same final state.
+func TestStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.NewRelaxed(failer{t})
 		ctx := context.Background()
@@ -110,7 +113,7 @@
 		m := &model{kvs: map[string]store.KV{}, expires: map[store.LeaseID]time.Time{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"commit": func(t *rapid.T) {
-				txn := drawTxn(t, m)
+				txn := generateTxn(t, m)
 				rev, ok, err := s.Commit(ctx, txn)
 				if txn.Validate() != nil {
 					is.True(err != nil)
@@ -132,17 +135,17 @@
 			},
 			"renew or revoke": func(t *rapid.T) {
 				id := store.LeaseID(rapid.IntRange(1, 5).Draw(t, "lease"))
-				_, known := m.expires[id]
+				_, exists := m.expires[id]
 				if rapid.Bool().Draw(t, "renew") {
-					is.Equal(s.Renew(ctx, id) == nil, known)
-					if known {
+					is.Equal(s.Renew(ctx, id) == nil, exists)
+					if exists {
 						m.expires[id] = c.Now().Add(modelTTL)
 					}
 					return
 				}
-				is.Equal(s.Revoke(ctx, id) == nil, known)
-				if known {
-					m.end(id)
+				is.Equal(s.Revoke(ctx, id) == nil, exists)
+				if exists {
+					m.revoke(id)
 				}
 			},
 			"": func(*rapid.T) {
@@ -156,7 +159,7 @@
 	})
 }
 
-// replay rebuilds the store's state from a watch of every revision.
+// replay builds the store's state from the events of a watch from revision 1 on.
 func replay(s *memory.Store, upTo int64) []store.KV {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -176,7 +179,7 @@
 	return m.sorted()
 }
 
-// failer lets the assertions fail a rapid check.
+// failer adapts rapid.T to the assertions of package is.
 type failer struct{ t *rapid.T }
 
 func (f failer) Fail()    { f.t.Fail() }
--- a/store/memory/watch.go
+++ b/store/memory/watch.go
@@ -6,9 +6,9 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Watch implements store.Store. A watch holds no events of its own: it reads
-// them from the history, so that a slow one delays nobody and ends with
-// store.ErrCompacted when the history has gone past it.
+// Watch implements store.Store. A watch has no event buffer: it reads from the
+// history, so that a slow receiver delays neither writes nor other watches. It ends
+// with store.ErrCompacted once the history no longer holds its next revision.
 func (s *Store) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
 	if from == 0 {
 		from = s.Revision() + 1
@@ -22,14 +22,16 @@
 	go func() {
 		defer close(out)
 		defer stop()
-		s.follow(ctx, prefix, from, out)
+		s.sendBatches(ctx, prefix, from, out)
 	}()
 	return out, nil
 }
 
-func (s *Store) follow(ctx context.Context, prefix string, next int64, out chan<- store.Batch) {
+// sendBatches sends the events from revision next on until ctx ends or a batch has an
+// error.
+func (s *Store) sendBatches(ctx context.Context, prefix string, next int64, out chan<- store.Batch) {
 	for {
-		b := s.wait(ctx, prefix, next)
+		b := s.waitForEvents(ctx, prefix, next)
 		if ctx.Err() != nil {
 			return
 		}
@@ -45,9 +47,9 @@
 	}
 }
 
-// wait blocks until there is an event under prefix at revision next or later,
-// or next is no longer in the history.
-func (s *Store) wait(ctx context.Context, prefix string, next int64) store.Batch {
+// waitForEvents blocks until there is an event under prefix at revision next or later,
+// next is no longer in the history, or ctx ends.
+func (s *Store) waitForEvents(ctx context.Context, prefix string, next int64) store.Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for ctx.Err() == nil {
--- a/store/storetest/keys.go
+++ b/store/storetest/keys.go
@@ -39,7 +39,7 @@
 			keys = append(keys, kv.Key)
 		}
 		h.Equal(keys, want)
-		h.Equal(page.Revision, h.list("").Revision) // the store's, not the keys'
+		h.Equal(page.Revision, h.list("").Revision) // the revision of the store, not of the keys
 	}
 }
 
@@ -79,7 +79,7 @@
 	h.Equal(got, rev)
 	got, ok = h.commit(store.Txn{Compares: []store.Compare{{Key: "k", ModRevision: 0}}})
 	h.True(!ok)
-	h.Equal(got, rev) // a failed compare tells the revision too
+	h.Equal(got, rev) // a failed compare returns the revision too
 	h.Equal(h.delete(store.Op{Key: "k"}), rev+1)
 }
 
@@ -98,7 +98,9 @@
 	}
 }
 
-func testRefusedForms(t *testing.T, h *harness) {
+// testInvalidTxns checks that invalid transactions are rejected without effect, and
+// that the largest valid value and repeated deletes are accepted.
+func testInvalidTxns(t *testing.T, h *harness) {
 	rev := h.put("kept", "v")
 	many := make([]store.Op, store.MaxTxnOps+1)
 	for i := range many {
--- a/store/storetest/leases.go
+++ b/store/storetest/leases.go
@@ -11,7 +11,7 @@
 
 const ttl = 10 * time.Second
 
-func testLeaseLapse(_ *testing.T, h *harness) {
+func testLeaseExpiry(_ *testing.T, h *harness) {
 	id := h.grant(ttl)
 	other := h.grant(10 * ttl)
 	h.putLeased("leased", "v", id)
@@ -35,12 +35,14 @@
 	h.NoErr(h.Store.Revoke(h.ctx, id))
 	page := h.list("")
 	h.Equal(len(page.KVs), 0)
-	h.Equal(page.Revision, before+1) // all keys go at one revision
+	h.Equal(page.Revision, before+1) // all keys are deleted at one revision
 	h.True(errors.Is(h.Store.Revoke(h.ctx, id), store.ErrLeaseNotFound))
 	h.NoErr(h.Store.Revoke(h.ctx, h.grant(ttl)))
 	h.Equal(h.list("").Revision, before+1) // a lease without keys changes nothing
 }
 
+// testLeaseDetach checks that revoking a lease keeps the keys that a later put has
+// detached from it or attached to another lease.
 func testLeaseDetach(_ *testing.T, h *harness) {
 	id := h.grant(ttl)
 	h.putLeased("k", "1", id)
@@ -61,6 +63,6 @@
 	_, ok, err := h.Store.Commit(h.ctx, store.Txn{Ops: ops})
 	h.True(!ok)
 	h.True(errors.Is(err, store.ErrLeaseNotFound))
-	h.Equal(len(h.list("").KVs), 0) // nothing of it was written
+	h.Equal(len(h.list("").KVs), 0) // no operation of the transaction was applied
 	h.True(errors.Is(h.Store.Renew(h.ctx, unknown), store.ErrLeaseNotFound))
 }
--- a/store/storetest/storetest.go
+++ b/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is the contract of store.Store as a suite of tests, run
-// by the tests of each implementation.
+// Package storetest contains the contract tests of store.Store, which the tests of
+// each implementation run.
 package storetest
 
 import (
@@ -13,50 +13,52 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// guard ends a test that would wait for ever; no verdict depends on it.
-const guard = time.Minute
+// testTimeout ends a test that would otherwise block forever; a passing test never
+// reaches it.
+const testTimeout = time.Minute
 
-// Fixture is an empty store under test and the hands that move it.
+// Fixture holds an empty store under test and the functions that control it.
 type Fixture struct {
 	Store store.Store
-	// Advance moves the clock of the leases on, and lets lapsed ones expire.
+	// Advance advances the clock of the leases and expires those that are due.
 	Advance func(time.Duration)
-	// Compact forgets the history up to the current revision.
+	// Compact drops the history up to and including the current revision.
 	Compact func()
 }
 
-// Open returns a new fixture, closed by t.Cleanup.
+// Open returns a new fixture, which t.Cleanup closes.
 type Open func(t *testing.T) Fixture
 
-// Run checks that an implementation keeps the contract.
+// Run runs the contract tests on an implementation.
 func Run(t *testing.T, open Open) {
 	tests := map[string]func(*testing.T, *harness){
-		"get returns what was put":                testGet,
-		"list is ordered and limited to prefix":   testList,
-		"compares decide a transaction":           testCompare,
-		"revision grows only with a change":       testRevision,
-		"a transaction is one revision":           testTxnAtomic,
-		"forms that the service refuses":          testRefusedForms,
-		"a put copies its value":                  testValueCopied,
-		"lease lapses unless renewed":             testLeaseLapse,
-		"revoked lease takes its keys":            testLeaseRevoke,
-		"a later put detaches the lease":          testLeaseDetach,
-		"unknown lease is refused":                testLeaseUnknown,
-		"watch continues a list without gap":      testWatchFromList,
-		"watch from zero sees what comes after":   testWatchFromNow,
-		"watch is limited to its prefix":          testWatchPrefix,
-		"watch from a forgotten revision":         testWatchCompacted,
-		"watch ends with its context":             testWatchCancel,
-		"every watch sees every event":            testManyWatches,
-		"an unread watch delays no write":         testSlowWatch,
-		"lapse and prefix delete reach the watch": testWatchDeletes,
+		"get returns what was put":                  testGet,
+		"list is ordered and limited to prefix":     testList,
+		"transaction applies only if compares hold": testCompare,
+		"revision grows only with a change":         testRevision,
+		"a transaction has one revision":            testTxnAtomic,
+		"invalid transaction is rejected":           testInvalidTxns,
+		"a put copies its value":                    testValueCopied,
+		"lease expires unless renewed":              testLeaseExpiry,
+		"revoking a lease deletes its keys":         testLeaseRevoke,
+		"a later put detaches the lease":            testLeaseDetach,
+		"unknown lease is rejected":                 testLeaseUnknown,
+		"watch continues a list without a gap":      testWatchFromList,
+		"watch from zero sends later changes":       testWatchFromNow,
+		"watch is limited to its prefix":            testWatchPrefix,
+		"watch from a compacted revision":           testWatchCompacted,
+		"watch ends with its context":               testWatchCancel,
+		"every watch receives every event":          testManyWatches,
+		"an unread watch delays no write":           testSlowWatch,
+		"watch receives expiry and prefix delete":   testWatchDeletes,
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) { test(t, newHarness(t, open(t))) })
 	}
 }
 
-// harness has short forms of the calls that a test expects to succeed.
+// harness wraps the calls that a test expects to succeed and fails the test if they
+// don't.
 type harness struct {
 	Fixture
 	*is.I
@@ -64,7 +66,7 @@
 }
 
 func newHarness(t *testing.T, f Fixture) *harness {
-	ctx, cancel := context.WithTimeout(context.Background(), guard)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return &harness{Fixture: f, I: is.New(t), ctx: ctx}
 }
@@ -122,7 +124,7 @@
 	return ch
 }
 
-// events receives n events or more and checks the batches' revisions.
+// events receives at least n events and checks the revisions of their batches.
 func (h *harness) events(ch <-chan store.Batch, n int) []store.Event {
 	h.Helper()
 	var events []store.Event
@@ -136,18 +138,18 @@
 	return events
 }
 
-// brief is one event in a form for comparison.
-func brief(e store.Event) string {
+// format returns an event as a string for comparison.
+func format(e store.Event) string {
 	if e.Deleted {
 		return fmt.Sprintf("%d -%s", e.KV.ModRevision, e.KV.Key)
 	}
 	return fmt.Sprintf("%d %s=%s", e.KV.ModRevision, e.KV.Key, e.KV.Value)
 }
 
-func briefs(events []store.Event) []string {
+func formatAll(events []store.Event) []string {
 	out := make([]string, len(events))
 	for i, e := range events {
-		out[i] = brief(e)
+		out[i] = format(e)
 	}
 	return out
 }
--- a/store/storetest/watches.go
+++ b/store/storetest/watches.go
@@ -20,16 +20,16 @@
 	r2 := h.put("k/2", "c")
 	want := []string{fmt.Sprintf("%d k/1=b", r1), fmt.Sprintf("%d k/2=c", r2)}
 	ch := h.watch(h.ctx, "k/", page.Revision+1)
-	h.Equal(briefs(h.events(ch, 2)), want)
+	h.Equal(formatAll(h.events(ch, 2)), want)
 	r3 := h.put("k/3", "d")
-	h.Equal(briefs(h.events(ch, 1)), []string{fmt.Sprintf("%d k/3=d", r3)}) // no repeat
+	h.Equal(formatAll(h.events(ch, 1)), []string{fmt.Sprintf("%d k/3=d", r3)}) // no event is repeated
 }
 
 func testWatchFromNow(_ *testing.T, h *harness) {
 	h.put("k", "before")
 	ch := h.watch(h.ctx, "", 0)
 	rev := h.put("k", "after")
-	h.Equal(briefs(h.events(ch, 1)), []string{fmt.Sprintf("%d k=after", rev)})
+	h.Equal(formatAll(h.events(ch, 1)), []string{fmt.Sprintf("%d k=after", rev)})
 }
 
 func testWatchPrefix(_ *testing.T, h *harness) {
@@ -41,7 +41,7 @@
 		{Key: "a/1", Value: []byte("1")}, {Key: "b", Value: []byte("x")}, {Key: "a/2", Value: []byte("2")},
 	}})
 	want := []string{fmt.Sprintf("%d a/1=1", r1), fmt.Sprintf("%d a/2=2", r1)}
-	h.Equal(briefs(h.events(ch, 2)), want) // one revision arrives whole
+	h.Equal(formatAll(h.events(ch, 2)), want) // all events of the revision arrive
 }
 
 func testWatchCompacted(_ *testing.T, h *harness) {
@@ -54,14 +54,14 @@
 	h.Equal(b.Revision, last+1)
 	ch := h.watch(h.ctx, "k", b.Revision)
 	r := h.put("k", "4")
-	h.Equal(briefs(h.events(ch, 1)), []string{fmt.Sprintf("%d k=4", r)})
+	h.Equal(formatAll(h.events(ch, 1)), []string{fmt.Sprintf("%d k=4", r)})
 }
 
 func testWatchCancel(_ *testing.T, h *harness) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	ch := h.watch(ctx, "k", 0)
 	cancel()
-	for b := range ch { // closes; an error before that is allowed
+	for b := range ch { // the channel is closed; an error before that is allowed
 		h.True(b.Err != nil)
 	}
 	h.put("k", "1")
@@ -79,7 +79,7 @@
 		want = append(want, fmt.Sprintf("%d k=%d", h.put("k", fmt.Sprint(i)), i))
 	}
 	for _, ch := range chans {
-		h.Equal(briefs(h.events(ch, writes)), want)
+		h.Equal(formatAll(h.events(ch, writes)), want)
 	}
 }
 
@@ -87,10 +87,10 @@
 	const writes = 200
 	ch := h.watch(h.ctx, "k", 1)
 	var want []string
-	for i := range writes { // the guard ends the test if one of these waits
+	for i := range writes { // testTimeout fails the test if a put blocks
 		want = append(want, fmt.Sprintf("%d k=%d", h.put("k", fmt.Sprint(i)), i))
 	}
-	h.Equal(briefs(h.events(ch, writes)), want)
+	h.Equal(formatAll(h.events(ch, writes)), want)
 }
 
 func testWatchDeletes(_ *testing.T, h *harness) {
@@ -101,12 +101,12 @@
 	from := h.list("").Revision + 1
 	ch := h.watch(h.ctx, "k/", from)
 	h.delete(store.Op{Key: "k/", Prefix: true})
-	h.Equal(briefs(h.events(ch, 3)), []string{
+	h.Equal(formatAll(h.events(ch, 3)), []string{
 		fmt.Sprintf("%d -k/1", from), fmt.Sprintf("%d -k/2", from), fmt.Sprintf("%d -k/leased", from),
 	})
 	r := h.putLeased("k/leased", "v", id)
 	h.Advance(2 * ttl)
-	h.Equal(briefs(h.events(ch, 2)), []string{
+	h.Equal(formatAll(h.events(ch, 2)), []string{
 		fmt.Sprintf("%d k/leased=v", r), fmt.Sprintf("%d -k/leased", r+1),
 	})
 	h.Advance(time.Second)
--- a/store/validate.go
+++ b/store/validate.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Validate reports whether the service would refuse the transaction for its
-// form: ErrTooManyOps, ErrValueTooLarge or ErrDuplicateKey. As in etcd, a key
-// may be put once and not be deleted in the same transaction.
+// Validate returns the error with which the service rejects an invalid transaction:
+// ErrTooManyOps, ErrValueTooLarge or ErrDuplicateKey. As in etcd, a transaction may
+// put a key only once, and may not put and delete the same key.
 func (t Txn) Validate() error {
 	if len(t.Ops) > MaxTxnOps || len(t.Compares) > MaxTxnOps {
 		return errors.Wrapf(ErrTooManyOps, "%d operations, %d compares", len(t.Ops), len(t.Compares))
@@ -29,6 +29,7 @@
 	return t.validateDeletes(puts)
 }
 
+// validateDeletes returns ErrDuplicateKey if an operation deletes one of the put keys.
 func (t Txn) validateDeletes(puts map[string]bool) error {
 	for _, op := range t.Ops {
 		if !op.Delete {
