--- a/settings/clash.go
+++ b/settings/clash.go
@@ -6,50 +6,55 @@
 	"slices"
 )
 
-// poolKnobs are the settings that a pool has but once, whoever names it.
-type poolKnobs struct {
+// poolLimits are the settings that must be equal in all definitions that use the
+// same pool.
+type poolLimits struct {
 	loadFactor  float64
 	maxInFlight int
 	cells       int
 }
 
-// owner says where a team defined something.
-type owner struct{ team, path string }
+// definition is the place where a team defined a key, name or pool.
+type definition struct{ team, path string }
 
-// Index holds what only one team, or one setting, may define: API keys,
-// shared names and the knobs of a pool. It is built from valid documents.
+// Index maps what must be consistent across teams to its first definition: an
+// API key and a shared name may be defined once, and the limits of a pool must
+// be equal wherever it is used. It is built from valid documents.
 type Index struct {
-	keys   map[string]owner
-	shared map[string]owner
-	pools  map[string]poolUse
+	keys   map[string]definition
+	shared map[string]definition
+	pools  map[string]poolDefinition
 }
 
-type poolUse struct {
-	owner
-	knobs poolKnobs
+type poolDefinition struct {
+	definition
+	limits poolLimits
 }
 
-// NewIndex indexes all teams' documents but the one of the team left out.
-func NewIndex(teams map[string]Team, leftOut string) *Index {
-	x := &Index{keys: make(map[string]owner), shared: make(map[string]owner), pools: make(map[string]poolUse)}
+// NewIndex indexes the documents of all teams except the excluded one, in the
+// order of their names.
+func NewIndex(teams map[string]Team, excluded string) *Index {
+	x := &Index{keys: make(map[string]definition), shared: make(map[string]definition), pools: make(map[string]poolDefinition)}
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
-		if team != leftOut {
+		if team != excluded {
 			x.add(team, teams[team])
 		}
 	}
 	return x
 }
 
-// Clashes returns what the team's document defines against the others.
+// Clashes returns a fault for each definition in the team's document that
+// conflicts with an indexed one or with an earlier one in the same document. It
+// adds the document to the index.
 func (x *Index) Clashes(team string, doc Team) []Fault { return x.add(team, doc) }
 
-// add indexes a document and returns its clashes.
+// add indexes a document and returns a fault for each conflicting definition.
 func (x *Index) add(team string, doc Team) []Fault {
 	var faults []Fault
 	for _, name := range slices.Sorted(maps.Keys(doc.Workspaces)) {
 		path := "workspaces." + name + ".keys_sha256"
 		for _, digest := range doc.Workspaces[name].KeysSHA256 {
-			faults = append(faults, claim(x.keys, digest, owner{team, path}, "API key "+digest[:8]+"…", "make a new key")...)
+			faults = append(faults, defineOnce(x.keys, digest, definition{team, path}, "API key "+digest[:8]+"…", "make a new key")...)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(doc.Models)) {
@@ -63,32 +68,36 @@
 	return faults
 }
 
+// addPool indexes a model's or service's shared name and the limits of its pool,
+// and returns a fault for each conflict.
 func (x *Index) addPool(team, path string, shared bool, ref PoolRef) []Fault {
 	var faults []Fault
 	if shared {
-		faults = claim(x.shared, path, owner{team, path}, "shared name", "choose another name or don't share it")
+		faults = defineOnce(x.shared, path, definition{team, path}, "shared name", "choose another name or don't share it")
 	}
-	knobs := poolKnobs{ref.LoadFactor, ref.MaxInFlight, ref.Cells}
-	use, taken := x.pools[ref.Pool]
-	if !taken {
-		x.pools[ref.Pool] = poolUse{owner{team, path}, knobs}
+	limits := poolLimits{ref.LoadFactor, ref.MaxInFlight, ref.Cells}
+	use, defined := x.pools[ref.Pool]
+	if !defined {
+		x.pools[ref.Pool] = poolDefinition{definition{team, path}, limits}
 		return faults
 	}
-	if use.knobs == knobs {
+	if use.limits == limits {
 		return faults
 	}
 	return append(faults, Fault{
 		ReasonClash, path,
 		fmt.Sprintf("pool %q has other limits in team %s, %s", ref.Pool, use.team, use.path),
 		fmt.Sprintf("set load_factor %s, max_in_flight %d and cells %d as there, or agree with that team",
-			formatNumber(use.knobs.loadFactor), use.knobs.maxInFlight, use.knobs.cells),
+			formatNumber(use.limits.loadFactor), use.limits.maxInFlight, use.limits.cells),
 	})
 }
 
-func claim(taken map[string]owner, name string, by owner, what, remedy string) []Fault {
-	other, ok := taken[name]
+// defineOnce indexes the definition of a name, or returns a fault if the name is
+// defined already.
+func defineOnce(defined map[string]definition, name string, by definition, what, remedy string) []Fault {
+	other, ok := defined[name]
 	if !ok {
-		taken[name] = by
+		defined[name] = by
 		return nil
 	}
 	return []Fault{{ReasonClash, by.path, fmt.Sprintf("%s is already defined by team %s, %s", what, other.team, other.path), remedy}}
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reason classes a fault for metrics.
+// Reason is the class of a fault, used as a metric label.
 type Reason string
 
 // The reasons for which a document is refused.
@@ -30,13 +30,13 @@
 	ReasonClash        Reason = "clash"
 )
 
-// Fault is one thing to mend in a document.
+// Fault is one error in a document, with its remedy.
 type Fault struct {
 	Reason Reason `json:"reason"`
-	// Path names the place in the document, for example
+	// Path locates the fault in the document, for example
 	// "models.namer-llm.load_factor"; empty for the whole document.
 	Path string `json:"path"`
-	// Problem says what is wrong and Remedy what to do.
+	// Problem describes the fault and Remedy how to correct it.
 	Problem string `json:"problem"`
 	Remedy  string `json:"remedy"`
 }
@@ -50,8 +50,9 @@
 	return path + ": " + f.Problem + "; " + f.Remedy
 }
 
-// Decode reads a team's document strictly. It returns every fault at once,
-// ordered by path; the document is valid if there is none.
+// Decode parses a team's document strictly: unknown fields, duplicate names and
+// missing fields are faults. It returns all faults, ordered by path; the document
+// is valid if there is none.
 func Decode(raw []byte) (Team, []Fault) {
 	if len(raw) > MaxDocumentBytes {
 		return Team{}, []Fault{{ReasonTooLarge, "", fmt.Sprintf("%d bytes exceed %d", len(raw), MaxDocumentBytes), "divide the team"}}
@@ -67,8 +68,8 @@
 	return team, d.faults
 }
 
-// parse returns the JSON value as maps, slices and scalars. A name that
-// stands twice in an object is a fault.
+// parse returns the JSON value as maps, slices and scalars. A name that occurs
+// twice in an object is a fault.
 func parse(raw []byte) (any, []Fault, error) {
 	p := parser{dec: json.NewDecoder(bytes.NewReader(raw))}
 	p.dec.UseNumber()
@@ -82,6 +83,7 @@
 	return tree, p.faults, nil
 }
 
+// parser builds a tree of maps, slices and scalars from JSON tokens.
 type parser struct {
 	dec    *json.Decoder
 	faults []Fault
@@ -108,12 +110,12 @@
 		if err != nil {
 			return nil, err
 		}
-		name := tok.(string) // the decoder allows only strings here
-		at := join(path, name)
-		if _, twice := out[name]; twice {
-			p.faults = append(p.faults, Fault{ReasonDuplicate, at, "stands twice", "keep one"})
+		name := tok.(string) // the JSON decoder returns only strings as object keys
+		elemPath := join(path, name)
+		if _, duplicate := out[name]; duplicate {
+			p.faults = append(p.faults, Fault{ReasonDuplicate, elemPath, "stands twice", "keep one"})
 		}
-		if out[name], err = p.value(at); err != nil {
+		if out[name], err = p.value(elemPath); err != nil {
 			return nil, err
 		}
 	}
@@ -134,6 +136,7 @@
 	return out, err
 }
 
+// join appends a name to the path of an object.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -148,6 +151,8 @@
 	d.faults = append(d.faults, Fault{reason, path, problem, remedy})
 }
 
+// value decodes a parsed value into out by the field's type, and adds a fault if
+// the value has another type.
 func (d *decoder) value(path string, f field, tree any, out reflect.Value) {
 	ok := true
 	switch f.typ.Kind() {
@@ -176,6 +181,8 @@
 	}
 }
 
+// structure decodes an object into a struct. Like mapping, slice and number it
+// returns false if the value has another type.
 func (d *decoder) structure(path string, f field, tree any, out reflect.Value) bool {
 	object, ok := tree.(map[string]any)
 	if !ok {
@@ -185,9 +192,9 @@
 	for i := range f.typ.NumField() {
 		sub := newField(f.typ.Field(i))
 		known = append(known, sub.name)
-		v, given := object[sub.name]
+		v, present := object[sub.name]
 		switch {
-		case given:
+		case present:
 			d.value(join(path, sub.name), sub, v, out.Field(sub.index))
 		case sub.required:
 			d.fault(ReasonMissing, join(path, sub.name), "is missing", "add it: "+sub.doc)
@@ -202,8 +209,8 @@
 }
 
 func unknownRemedy(name string, known []string) string {
-	if near := nearest(name, known); near != "" {
-		return fmt.Sprintf("did you mean %q?", near)
+	if suggestion := nearest(name, known); suggestion != "" {
+		return fmt.Sprintf("did you mean %q?", suggestion)
 	}
 	return "use one of " + strings.Join(known, ", ")
 }
@@ -215,10 +222,10 @@
 	}
 	out.Set(reflect.MakeMapWithSize(f.typ, len(object)))
 	for name, v := range object {
-		at := join(path, name)
-		d.match(at, f.pattern, name)
+		elemPath := join(path, name)
+		d.match(elemPath, f.pattern, name)
 		elem := reflect.New(f.typ.Elem()).Elem()
-		d.value(at, field{typ: f.typ.Elem()}, v, elem)
+		d.value(elemPath, field{typ: f.typ.Elem()}, v, elem)
 		out.SetMapIndex(reflect.ValueOf(name), elem)
 	}
 	return true
@@ -261,6 +268,7 @@
 	return true
 }
 
+// text checks a string against the field's pattern and its allowed values.
 func (d *decoder) text(path string, f field, v string) {
 	d.match(path, f.pattern, v)
 	if f.oneOf != nil && !slices.Contains(f.oneOf, v) {
@@ -268,6 +276,7 @@
 	}
 }
 
+// match adds a fault if the string doesn't match the pattern; nil matches all.
 func (d *decoder) match(path string, p *pattern, v string) {
 	if p != nil && !p.re.MatchString(v) {
 		d.fault(ReasonPattern, path, fmt.Sprintf("%q has a wrong form", v), p.remedy)
--- a/settings/decode_test.go
+++ b/settings/decode_test.go
@@ -17,24 +17,24 @@
 		reason       Reason
 		path, remedy string
 	}{
-		{"half written", `{"models":{`, ReasonSyntax, "", "write one JSON object"},
+		{"truncated", `{"models":{`, ReasonSyntax, "", "write one JSON object"},
 		{"text after the end", `{} {}`, ReasonSyntax, "", "write one JSON object"},
 		{"not an object", `[]`, ReasonType, "", "object"},
 		{"null", `null`, ReasonType, "", "object"},
-		{"unknown near field", `{"models":{"m":{"load_facto":2}}}`, ReasonUnknownField, "models.m.load_facto", `did you mean "load_factor"?`},
-		{"unknown far field", `{"engines":{}}`, ReasonUnknownField, "engines", "use one of workspaces, models, services"},
-		{"case of a field", `{"models":{"m":{"Shared":true}}}`, ReasonUnknownField, "models.m.Shared", `"shared"`},
-		{"twice", `{"models":{"m":{"cells":1,"cells":2}}}`, ReasonDuplicate, "models.m.cells", "keep one"},
-		{"missing", `{"workspaces":{"w":{}}}`, ReasonMissing, "workspaces.w.keys_sha256", "add it"},
-		{"type", `{"models":{"m":{"cells":"2"}}}`, ReasonType, "models.m.cells", "integer"},
-		{"fraction", `{"models":{"m":{"cells":1.5}}}`, ReasonType, "models.m.cells", "integer"},
+		{"unknown field, similar name", `{"models":{"m":{"load_facto":2}}}`, ReasonUnknownField, "models.m.load_facto", `did you mean "load_factor"?`},
+		{"unknown field, no similar name", `{"engines":{}}`, ReasonUnknownField, "engines", "use one of workspaces, models, services"},
+		{"wrong case of a field name", `{"models":{"m":{"Shared":true}}}`, ReasonUnknownField, "models.m.Shared", `"shared"`},
+		{"duplicate field", `{"models":{"m":{"cells":1,"cells":2}}}`, ReasonDuplicate, "models.m.cells", "keep one"},
+		{"missing required field", `{"workspaces":{"w":{}}}`, ReasonMissing, "workspaces.w.keys_sha256", "add it"},
+		{"wrong type", `{"models":{"m":{"cells":"2"}}}`, ReasonType, "models.m.cells", "integer"},
+		{"fraction for an integer", `{"models":{"m":{"cells":1.5}}}`, ReasonType, "models.m.cells", "integer"},
 		{"huge number", `{"models":{"m":{"cells":1e999}}}`, ReasonType, "models.m.cells", "integer"},
-		{"below", `{"models":{"m":{"load_factor":0.5}}}`, ReasonBounds, "models.m.load_factor", "omit it for 1.25"},
-		{"above", `{"services":{"s":{"max_in_flight":100001}}}`, ReasonBounds, "services.s.max_in_flight", "to 100000"},
+		{"below the minimum", `{"models":{"m":{"load_factor":0.5}}}`, ReasonBounds, "models.m.load_factor", "omit it for 1.25"},
+		{"above the maximum", `{"services":{"s":{"max_in_flight":100001}}}`, ReasonBounds, "services.s.max_in_flight", "to 100000"},
 		{"zero weight", `{"workspaces":{"w":{"keys_sha256":[],"weight":0}}}`, ReasonBounds, "workspaces.w.weight", "from 0.01"},
-		{"one of", `{"models":{"m":{"fencing":"maybe"}}}`, ReasonBounds, "models.m.fencing", "checked, ignored"},
-		{"raw key", `{"workspaces":{"w":{"keys_sha256":["secret"]}}}`, ReasonPattern, "workspaces.w.keys_sha256[0]", "sha256sum"},
-		{"name", `{"services":{"a/b":{}}}`, ReasonPattern, "services.a/b", "letters"},
+		{"not one of the allowed values", `{"models":{"m":{"fencing":"maybe"}}}`, ReasonBounds, "models.m.fencing", "checked, ignored"},
+		{"API key instead of its digest", `{"workspaces":{"w":{"keys_sha256":["secret"]}}}`, ReasonPattern, "workspaces.w.keys_sha256[0]", "sha256sum"},
+		{"invalid name", `{"services":{"a/b":{}}}`, ReasonPattern, "services.a/b", "letters"},
 		{"route path", `{"services":{"s":{"routes":[{"prefix":"x","repeatable":true}]}}}`, ReasonPattern, "services.s.routes[0].prefix", "'/'"},
 		{"route method", `{"services":{"s":{"routes":[{"method":"get","prefix":"/","repeatable":true}]}}}`, ReasonBounds, "services.s.routes[0].method", "GET"},
 		{"too large", `{"x":"` + strings.Repeat("x", MaxDocumentBytes) + `"}`, ReasonTooLarge, "", "divide"},
@@ -46,7 +46,7 @@
 			is.Equal(len(faults), 1)
 			is.Equal(faults[0].Reason, c.reason)
 			is.Equal(faults[0].Path, c.path)
-			is.True(strings.Contains(faults[0].Remedy, c.remedy)) // the remedy helps
+			is.True(strings.Contains(faults[0].Remedy, c.remedy)) // the remedy applies to the fault
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	is.Equal(len(faults), 4)
 }
 
-func TestDecodeReadsWhatEncodingWrites(t *testing.T) {
+func TestDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		want := teamGen().Draw(rt, "team")
 		raw, err := json.Marshal(want)
@@ -69,11 +69,12 @@
 	})
 }
 
+// TestDecodeNeverPanics decodes valid documents with one byte replaced.
 func TestDecodeNeverPanics(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		team, _ := json.Marshal(teamGen().Draw(rt, "team"))
-		at := rapid.IntRange(0, len(team)-1).Draw(rt, "at")
-		team[at] = rapid.Byte().Draw(rt, "byte")
+		index := rapid.IntRange(0, len(team)-1).Draw(rt, "index")
+		team[index] = rapid.Byte().Draw(rt, "byte")
 		Decode(team)
 	})
 }
@@ -102,7 +103,7 @@
 	})
 }
 
-// nonEmpty returns nil for an empty map, as decoding a left-out object does.
+// nonEmpty returns nil for an empty map, as decoding an omitted object does.
 func nonEmpty[V any](m map[string]V) map[string]V {
 	if len(m) == 0 {
 		return nil
--- a/settings/nearest.go
+++ b/settings/nearest.go
@@ -1,10 +1,10 @@
 package settings
 
-// maxTypos is the most edits by which a name may differ from the one meant.
+// maxTypos is the largest edit distance between a name and its suggestion.
 const maxTypos = 4
 
-// nearest returns the known name with the least edit distance to name, or ""
-// if none is near.
+// nearest returns the known name with the smallest edit distance to name, or ""
+// if none is within maxTypos edits and half the length of name.
 func nearest(name string, known []string) string {
 	best, bestDistance := "", min(maxTypos, len(name)/2)+1
 	for _, k := range known {
@@ -15,7 +15,8 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance in bytes. It keeps one row of the
+// table.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -19,7 +19,8 @@
 	tableEnd     = "<!-- table end -->"
 )
 
-// TestPageMatchesSchema requires that the page's table is that of the code.
+// TestPageMatchesSchema checks that the table in docs/SETTINGS.md equals the one
+// generated from the struct tags.
 func TestPageMatchesSchema(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(settingsPage)
@@ -48,8 +49,8 @@
 	return b.String()
 }
 
-// TestDefaultsMatchSchema requires that the documented defaults are those that
-// a snapshot resolves.
+// TestDefaultsMatchSchema checks that the documented defaults equal those that a
+// snapshot applies.
 func TestDefaultsMatchSchema(t *testing.T) {
 	is := is.New(t)
 	defaults := make(map[string]string)
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -7,17 +7,19 @@
 	"strings"
 )
 
-// MaxDocumentBytes is the largest document of a team. It leaves room for the
-// envelope in one value of the store and for several documents in one message
-// between nodes.
+// MaxDocumentBytes is the size limit of a team's document. It leaves space for
+// the record's other fields within one value of the store and for several
+// documents within one message between nodes.
 const MaxDocumentBytes = 128 << 10
 
-// pattern is a named form that strings must have.
+// pattern is a regular expression that strings must match, with the remedy
+// reported when one doesn't.
 type pattern struct {
 	re     *regexp.Regexp
 	remedy string
 }
 
+// patterns maps the value of a pattern tag to its pattern.
 var patterns = map[string]pattern{
 	"name": {
 		regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`),
@@ -39,8 +41,8 @@
 
 // Property is one documented setting.
 type Property struct {
-	// Path names the setting, with <name> for the key of a map and [] for
-	// the elements of a list.
+	// Path is the setting's path in the document, with <name> for the key of a
+	// map and [] for the elements of a list.
 	Path     string
 	Type     string
 	Unit     string
@@ -50,7 +52,7 @@
 	Doc      string
 }
 
-// Properties returns every setting of a team's document in the order of the
+// Properties returns all settings of a team's document in the order of the
 // schema.
 func Properties() []Property {
 	return properties(reflect.TypeFor[Team](), "")
@@ -75,7 +77,7 @@
 	return out
 }
 
-// field is the schema of one struct field.
+// field is the schema of one struct field, read from its tags.
 type field struct {
 	index    int
 	name     string
@@ -106,6 +108,7 @@
 	return f
 }
 
+// bound parses a min or max tag; it returns nil if there is none.
 func bound(tag string) *float64 {
 	v, err := strconv.ParseFloat(tag, 64)
 	if err != nil {
@@ -114,6 +117,7 @@
 	return &v
 }
 
+// bounds describes the allowed values, for the settings page and for remedies.
 func (f field) bounds() string {
 	var parts []string
 	if f.min != nil {
--- a/settings/service.go
+++ b/settings/service.go
@@ -2,6 +2,5 @@
 
 import "github.com/knapweedgw/knapweedgw/kernel"
 
-// ServiceID is the kernel name of the service that holds the settings in
-// force.
+// ServiceID is the kernel ID of the service that serves the settings in force.
 const ServiceID kernel.ID = "settings.watcher"
--- a/settings/snapshot.go
+++ b/settings/snapshot.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// WorkspaceRef names a workspace and its team.
+// WorkspaceRef identifies a workspace and its team, and holds its weight.
 type WorkspaceRef struct {
 	Team, Name string
 	Weight     float64
 }
 
-// PoolRef is a model or service resolved to the pool that serves it.
+// PoolRef is a model or service resolved to the pool that serves it, with
+// defaults applied.
 type PoolRef struct {
 	Name        string
 	Pool        string
@@ -20,14 +21,16 @@
 
 // Snapshot is an immutable view of all teams' accepted settings.
 type Snapshot struct {
-	// Revision only grows.
+	// Revision is the fleet's revision through which the snapshot is complete;
+	// a later snapshot has a higher one.
 	Revision int64
 	Teams    map[string]Team
 
-	byKey map[string]WorkspaceRef
+	byKey map[string]WorkspaceRef // by the digest of an API key
 }
 
-// NewSnapshot indexes the teams' documents.
+// NewSnapshot returns a snapshot of the teams' documents, with API keys indexed
+// by digest.
 func NewSnapshot(revision int64, teams map[string]Team) *Snapshot {
 	s := &Snapshot{Revision: revision, Teams: teams, byKey: make(map[string]WorkspaceRef)}
 	for team, doc := range teams {
@@ -47,7 +50,8 @@
 	return ref, ok
 }
 
-// Model resolves a model name as seen by a team: its own, else a shared one.
+// Model resolves a model name for a team: to the team's own model, otherwise to
+// a model that another team shares.
 func (s *Snapshot) Model(team, name string) (PoolRef, bool) {
 	if m, ok := s.Teams[team].Models[name]; ok {
 		return m.ref(name), true
@@ -60,8 +64,8 @@
 	return PoolRef{}, false
 }
 
-// Service resolves a service name as seen by a team: its own, else a shared
-// one.
+// Service resolves a service name for a team: to the team's own service,
+// otherwise to a service that another team shares.
 func (s *Snapshot) Service(team, name string) (PoolRef, bool) {
 	if svc, ok := s.Teams[team].Services[name]; ok {
 		return svc.ref(name), true
@@ -74,7 +78,8 @@
 	return PoolRef{}, false
 }
 
-// Models returns the sorted names of the models a team may use.
+// Models returns the sorted names of the models that a team may use: its own
+// and the shared ones.
 func (s *Snapshot) Models(team string) []string {
 	var names []string
 	for owner, doc := range s.Teams {
--- a/settings/team.go
+++ b/settings/team.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix is the root of the operators' tree; a team's subtree is
-// Prefix + team + "/".
+// Prefix is the prefix of the store keys that operators write; those of a team
+// start with Prefix + team + "/".
 const Prefix = "/knapweedgw/teams/"
 
 const (
@@ -18,11 +18,11 @@
 
 var teamName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// ErrTeamName means that a team's name can't be a subtree's name.
+// ErrTeamName is returned for a team's name that is not allowed in a store key.
 var ErrTeamName = errors.New("settings: a team's name has 1 to 63 lower-case letters, digits or '-', and starts and ends with a letter or digit")
 
-// CheckTeamName returns ErrTeamName for a name that is not allowed; a valid
-// name can't reach another team's subtree.
+// CheckTeamName returns ErrTeamName for a name that is not allowed. The keys of a
+// valid name can't lie below another team's prefix.
 func CheckTeamName(team string) error {
 	if !teamName.MatchString(team) {
 		return errors.Wrapf(ErrTeamName, "%q", team)
@@ -33,11 +33,12 @@
 // TeamKey returns the store key of a team's document.
 func TeamKey(team string) string { return Prefix + team + documentKey }
 
-// ChangeKey returns the store key that says who wrote a team's document last.
+// ChangeKey returns the store key of the Change of a team's last write.
 func ChangeKey(team string) string { return Prefix + team + changeKey }
 
-// TeamOfKey returns the team whose document or change note a key of the
-// operators' tree holds; document is false for the change note.
+// TeamOfKey returns the team that a key below Prefix belongs to. document is true
+// for the team's document and false for its Change. ok is false for any other
+// key.
 func TeamOfKey(key string) (team string, document, ok bool) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
