--- a/settings/accepted/record.go
+++ b/settings/accepted/record.go
@@ -1,6 +1,6 @@
-// Package accepted defines the accepted settings: the records that acceptance
-// commits to the store, and the rule by which a node's copy of them only
-// grows. It is pure: no clock, no I/O.
+// Package accepted defines the accepted settings: the records that the acceptor
+// commits to the store, and a node's copy of them, which merges records so that a
+// team's revision never decreases. It does no I/O and reads no clock.
 package accepted
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Keys of the accepted settings in the store. Prefix holds HeadKey and the
-// teams' records and is what relays watch.
+// Keys of the accepted settings in the store. Relays watch Prefix, which covers
+// HeadKey and the teams' records.
 const (
 	Prefix      = "/knapweedgw/settings/accepted/"
 	HeadKey     = Prefix + "head"
 	teamsPrefix = Prefix + "teams/"
-	history     = "/knapweedgw/settings/history/"
+	historyRoot = "/knapweedgw/settings/history/"
 )
 
 // HistoryLength is the number of accepted revisions kept for each team.
@@ -29,7 +29,7 @@
 // Record is a team's accepted document.
 type Record struct {
 	Team string `json:"team"`
-	// Revision is the fleet's revision that accepted the document.
+	// Revision is the fleet's revision under which the document was accepted.
 	Revision int64 `json:"revision"`
 	// Change is the store's revision of the operators' document; 0 for a
 	// deletion.
@@ -38,20 +38,21 @@
 	Sequence int64 `json:"sequence"`
 	// Deleted marks the record of a team that was deleted.
 	Deleted bool `json:"deleted,omitempty"`
-	// Author and At say who wrote the document and when it was accepted.
+	// Author wrote the document; it was accepted at At.
 	Author   string          `json:"author,omitempty"`
 	At       time.Time       `json:"at"`
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
-// Head is the newest accepted revision. Each acceptance raises it.
+// Head is the newest accepted revision. Each commit of the acceptor increases it.
 type Head struct {
 	Revision int64 `json:"revision"`
-	// Previous is the revision that this one follows.
+	// Previous is the revision before this one.
 	Previous int64 `json:"previous"`
-	// Teams are those whose records have this revision.
+	// Teams are the teams whose records have this revision.
 	Teams []string `json:"teams"`
-	// WriteID tells apart writes whose answer was lost.
+	// WriteID is unique to the write. An acceptor whose response was lost reads
+	// it back to learn whether its own write took effect.
 	WriteID string `json:"write_id"`
 }
 
@@ -59,15 +60,15 @@
 func TeamKey(team string) string { return teamsPrefix + team }
 
 // HistoryPrefix returns the prefix of a team's earlier records.
-func HistoryPrefix(team string) string { return history + team + "/" }
+func HistoryPrefix(team string) string { return historyRoot + team + "/" }
 
-// HistoryKey returns the store key of one of the team's latest HistoryLength
-// records; a later record takes the place of an older one.
+// HistoryKey returns the store key of a record in the team's history, a ring of
+// HistoryLength entries in which a later record overwrites the oldest one.
 func HistoryKey(r Record) string {
 	return fmt.Sprintf("%s%02d", HistoryPrefix(r.Team), r.Sequence%HistoryLength)
 }
 
-// Bytes is the approximate size of the record in a message.
+// Bytes returns the approximate size of the record in a message, in bytes.
 func (r Record) Bytes() int {
 	const envelope = 180
 	return envelope + len(r.Team) + len(r.Author) + len(r.Document)
@@ -87,9 +88,9 @@
 	return h, errors.Wrap(err, "settings: head")
 }
 
-// FromPage returns the delta that a list of Prefix gives, and the store's
-// revision of the head, 0 if there is none. It is complete through the head.
-func FromPage(p store.Page) (d Delta, headMod int64, err error) {
+// FromPage converts a list of Prefix to a delta that is complete through the
+// head. It also returns the store's revision of the head, 0 if there is none.
+func FromPage(p store.Page) (d Delta, headModRevision int64, err error) {
 	for _, kv := range p.KVs {
 		switch {
 		case kv.Key == HeadKey:
@@ -97,7 +98,7 @@
 			if err != nil {
 				return Delta{}, 0, err
 			}
-			d.Through, headMod = h.Revision, kv.ModRevision
+			d.Through, headModRevision = h.Revision, kv.ModRevision
 		case strings.HasPrefix(kv.Key, teamsPrefix):
 			r, err := DecodeRecord(kv)
 			if err != nil {
@@ -106,11 +107,11 @@
 			d.Records = append(d.Records, r)
 		}
 	}
-	return d, headMod, nil
+	return d, headModRevision, nil
 }
 
-// FromEvents returns the deltas that a batch of a watch on Prefix gives, one
-// for each acceptance, in order.
+// FromEvents converts a batch of a watch on Prefix to deltas, one for each
+// commit of the acceptor, in order.
 func FromEvents(events []store.Event) ([]Delta, error) {
 	var out []Delta
 	records := make(map[string]Record)
@@ -135,8 +136,9 @@
 	return out, nil
 }
 
-// headDelta is the delta of one acceptance. If the events of a record were
-// lost, the delta claims nothing, so that the gap is seen.
+// headDelta returns the delta of one commit. If the event of a record was lost,
+// Since equals Through: the delta is complete for no revision, so that the
+// receiver detects the gap.
 func headDelta(h Head, records map[string]Record) Delta {
 	d := Delta{Since: h.Previous, Through: h.Revision}
 	for _, team := range h.Teams {
--- a/settings/accepted/state.go
+++ b/settings/accepted/state.go
@@ -6,34 +6,36 @@
 	"slices"
 )
 
-// MaxDeltaBytes bounds the records of one delta; a single record may exceed
-// it.
+// MaxDeltaBytes limits the size of the records of one delta; the records of one
+// revision are never split and may exceed it.
 const MaxDeltaBytes = 256 << 10
 
-// Delta is a set of records from any source, however old or incomplete.
+// Delta is a set of records from the store or a peer. It may be old or
+// incomplete.
 type Delta struct {
-	// Since and Through say what the delta is complete for: every team whose
-	// newest record has a revision in (Since, Through] is included at that
-	// revision or a later one.
+	// Since and Through delimit the revisions for which the delta is complete:
+	// every team whose newest record has a revision in (Since, Through] is
+	// included at that revision or a later one.
 	Since   int64    `json:"since"`
 	Through int64    `json:"through"`
 	Records []Record `json:"records,omitempty"`
 }
 
-// Result says what a delta did.
+// Result is the outcome of applying a delta.
 type Result struct {
-	// Changed are the teams whose records are newer now.
+	// Changed lists the teams whose records were replaced by newer ones.
 	Changed []string
 	// Stale counts the records that were older than those held.
 	Stale int
-	// Gap means that changes between the head and the delta are unknown. The
-	// delta was not applied; read what is newer than the head.
+	// Gap means that the changes between the head and the start of the delta
+	// are missing. The delta was not applied; the caller must read everything
+	// newer than the head.
 	Gap bool
 }
 
-// State is a node's copy of the accepted settings. For each team it only
-// moves to higher revisions. The zero value is empty. It is not safe for
-// concurrent use.
+// State is a node's copy of the accepted settings. The revision of a team's
+// record never decreases. The zero value is empty. It is not safe for concurrent
+// use.
 type State struct {
 	head    int64
 	records map[string]Record
@@ -48,20 +50,20 @@
 	return r, ok
 }
 
-// Records returns a copy of the records by team, those of deleted teams
-// included.
+// Records returns a copy of the records by team, including those of deleted
+// teams.
 func (s *State) Records() map[string]Record { return maps.Clone(s.records) }
 
-// Apply takes from the delta what is newer than what is held. A copy is
-// always complete through its head, so that one number tells another node
-// what it lacks.
+// Apply merges the records of the delta that are newer than the held ones. The
+// copy stays complete through its head, so that a peer needs only the head to
+// determine which records are missing.
 func (s *State) Apply(d Delta) Result {
 	var res Result
 	if d.Since > s.head {
 		return Result{Gap: true}
 	}
 	for _, r := range d.Records {
-		switch s.offer(r) {
+		switch s.merge(r) {
 		case newer:
 			res.Changed = append(res.Changed, r.Team)
 		case older:
@@ -72,16 +74,18 @@
 	return res
 }
 
-type order int
+// comparison is the result of comparing a record's revision with the held one.
+type comparison int
 
 const (
-	older order = iota
+	older comparison = iota
 	same
 	newer
 )
 
-// offer holds the record if its revision is higher than the team's.
-func (s *State) offer(r Record) order {
+// merge stores the record if its revision is higher than that of the team's held
+// record, and returns how the two compare.
+func (s *State) merge(r Record) comparison {
 	held := s.records[r.Team].Revision
 	if r.Revision < held {
 		return older
@@ -96,9 +100,9 @@
 	return newer
 }
 
-// Since returns what is newer than a revision, oldest first, up to
-// MaxDeltaBytes. If not all fits, Through is below the head and the rest
-// follows from there.
+// Since returns the records newer than a revision, oldest first, up to
+// MaxDeltaBytes. If not all fit, Through is below the head and the caller
+// continues with Since(Through).
 func (s *State) Since(revision int64) Delta {
 	d := Delta{Since: revision, Through: s.head}
 	if revision >= s.head {
@@ -117,6 +121,8 @@
 	return d
 }
 
+// newerThan returns the records newer than a revision, ordered by revision and
+// team.
 func (s *State) newerThan(revision int64) []Record {
 	var out []Record
 	for _, r := range s.records {
--- a/settings/accepted/status.go
+++ b/settings/accepted/status.go
@@ -10,10 +10,10 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// StatusPrefix is where operators find what became of their last change.
+// StatusPrefix is the prefix of the teams' statuses in the store.
 const StatusPrefix = "/knapweedgw/settings/status/"
 
-// Status says what became of a team's last decided change.
+// Status is the decision on a team's last decided change.
 type Status struct {
 	Team string `json:"team"`
 	// Change is the store's revision of the operators' document.
@@ -21,7 +21,7 @@
 	// Revision is the accepted revision in force after the decision; 0 if
 	// the team has none.
 	Revision int64 `json:"revision"`
-	// Faults are what to mend; empty if the change was accepted.
+	// Faults are the reasons of the refusal; empty if the change was accepted.
 	Faults []settings.Fault `json:"faults,omitempty"`
 	Author string           `json:"author,omitempty"`
 	At     time.Time        `json:"at"`
@@ -30,7 +30,7 @@
 // StatusKey returns the store key of a team's status.
 func StatusKey(team string) string { return StatusPrefix + team }
 
-// Refused says whether the change was refused.
+// Refused returns whether the change was refused.
 func (s Status) Refused() bool { return len(s.Faults) > 0 }
 
 // DecodeStatus reads a status from the store.
