--- a/settings/duty/duty_test.go
+++ b/settings/duty/duty_test.go
@@ -11,6 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/membership"
 )
 
+// view returns nodes of some failure domains, all in one region.
 func view(domains, perDomain int) *membership.View {
 	v := &membership.View{}
 	for d := range domains {
@@ -21,7 +22,7 @@
 	return v
 }
 
-func TestRelaysAreOfTheFailureDomainAndMayHoldADuty(t *testing.T) {
+func TestRelaysAreEligibleNodesOfTheFailureDomain(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
 		v := view(3, rapid.IntRange(0, 6).Draw(rt, "nodes"))
@@ -57,7 +58,7 @@
 	is.Equal(Position(after, before[0].ID), -1)
 }
 
-func TestAllLeavingStillHasPeers(t *testing.T) {
+func TestLeavingNodesReceiveAnnouncements(t *testing.T) {
 	is := is.New(t)
 	v := view(1, 3)
 	v.Self = v.Nodes[0].ID
@@ -69,7 +70,7 @@
 	is.Equal(len(Acceptors(v)), 0)
 }
 
-func TestAcceptorsAreApart(t *testing.T) {
+func TestAcceptorsAreInDifferentRegionsOrDomains(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
 		v := view(rapid.IntRange(1, 4).Draw(rt, "domains"), rapid.IntRange(1, 4).Draw(rt, "nodes"))
@@ -97,43 +98,43 @@
 		is := is.New(rt)
 		v := view(rapid.IntRange(1, 3).Draw(rt, "domains"), rapid.IntRange(1, 4).Draw(rt, "nodes"))
 		v.Self = rapid.SampledFrom(v.Nodes).Draw(rt, "self").ID
-		living := 0
+		others := 0
 		for i := range v.Nodes {
 			if v.Nodes[i].ID == v.Self {
 				continue
 			}
 			v.Nodes[i].State = rapid.SampledFrom([]membership.State{membership.Alive, membership.Dead}).Draw(rt, "state")
 			if v.Nodes[i].State == membership.Alive {
-				living++
+				others++
 			}
 		}
 		peer, ok := AntiEntropyPeer(v, rapid.IntRange(0, 1).Draw(rt, "round"), rnd)
-		is.Equal(ok, living > 0)
+		is.Equal(ok, others > 0)
 		first, later := Announcees(v)
 		announcees := append(first, later...)
-		is.Equal(len(announcees) > 0, living > 0) // some other node comes to hold a revision
-		is.Equal(len(Seeds(v, rnd)), living)      // one region here
+		is.Equal(len(announcees) > 0, others > 0) // a revision is announced to another node if there is one
+		is.Equal(len(Seeds(v, rnd)), others)      // all nodes are in one region
 		for _, n := range append(append(announcees, Seeds(v, rnd)...), peer) {
 			is.True(n.ID != v.Self && n.State != membership.Dead)
-			is.Equal(IsSeed(v, n.PeerAddr), living > 0)
+			is.Equal(IsSeed(v, n.PeerAddr), others > 0)
 		}
 	})
 }
 
-func TestRelaysShareTheirFailureDomain(t *testing.T) {
+func TestRelaysSplitAnnouncements(t *testing.T) {
 	is := is.New(t)
 	v := view(2, 18)
-	told := make(map[string]int)
+	announced := make(map[string]int)
 	for _, r := range Relays(v, "d1") {
 		first, later := Announcees(&membership.View{Self: r.ID, Nodes: v.Nodes})
 		is.Equal(len(first)+len(later), 17)
 		for _, n := range first {
-			told[n.ID]++
+			announced[n.ID]++
 		}
 	}
 	for _, n := range v.Nodes {
 		if n.FailureDomain == "d1" && Position(Relays(v, "d1"), n.ID) < 0 {
-			is.Equal(told[n.ID], 1) // by one relay at once
+			is.Equal(announced[n.ID], 1) // announced at once by exactly one relay
 		}
 	}
 }
--- a/settings/duty/peers.go
+++ b/settings/duty/peers.go
@@ -8,23 +8,24 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// Announcees returns the nodes that a relay tells of a new revision: the
-// others of its failure domain or, if it is alone there, one of those that it
-// would ask at a start, so that another node comes to hold the revision. The
-// relays share the failure domain: each tells its part at once and the rest,
-// in case the other relay is gone, a little later.
+// Announcees returns the nodes to which a relay announces a new revision: the other
+// nodes of its failure domain or, if there are none, one of its seeds, so that a
+// second node holds the revision. The relays split the nodes of the failure domain
+// by hash: first is this relay's own part, to be announced at once, and later is
+// the other relay's part, to be announced after a delay in case that relay has
+// failed.
 func Announcees(v *membership.View) (first, later []membership.Node) {
-	near, _ := others(v)
-	if len(near) == 0 {
+	sameDomain, _ := others(v)
+	if len(sameDomain) == 0 {
 		seeds := seeds(v)
 		return seeds[:min(1, len(seeds))], nil
 	}
 	self, _ := v.Node(v.Self)
 	relays := Relays(v, self.FailureDomain)
 	if len(relays) == 0 {
-		return near, nil
+		return sameDomain, nil
 	}
-	for _, n := range near {
+	for _, n := range sameDomain {
 		if Position(relays, v.Self) == int(routing.Hash(n.ID)%uint64(len(relays))) {
 			first = append(first, n)
 		} else {
@@ -34,18 +35,21 @@
 	return first, later
 }
 
-// AntiEntropyPeer returns the node to compare heads with in a round: by turns
-// a relay of the failure domain and a random node elsewhere.
+// AntiEntropyPeer returns the node to compare heads with: in even rounds another
+// relay of this node's failure domain, in odd rounds a random node of another
+// failure domain. If there is no such node it returns one of the other kind, or
+// else any other node of the failure domain; ok is false if there is no other
+// node.
 func AntiEntropyPeer(v *membership.View, round int, rnd *rand.Rand) (membership.Node, bool) {
 	self, _ := v.Node(v.Self)
 	relay := func() (membership.Node, bool) {
 		relays := slices.DeleteFunc(Relays(v, self.FailureDomain), func(n membership.Node) bool { return n.ID == v.Self })
 		return pick(relays, rnd, func(membership.Node) bool { return true })
 	}
-	other := func(near bool) func() (membership.Node, bool) {
+	other := func(sameDomain bool) func() (membership.Node, bool) {
 		return func() (membership.Node, bool) {
 			return pick(v.Nodes, rnd, func(n membership.Node) bool {
-				return n.ID != v.Self && n.State != membership.Dead && near == (n.FailureDomain == self.FailureDomain)
+				return n.ID != v.Self && n.State != membership.Dead && sameDomain == (n.FailureDomain == self.FailureDomain)
 			})
 		}
 	}
@@ -61,7 +65,7 @@
 	return membership.Node{}, false
 }
 
-// pick returns a random node among those that match, without allocating.
+// pick returns a random node among the matching ones, without allocating.
 func pick(nodes []membership.Node, rnd *rand.Rand, match func(membership.Node) bool) (membership.Node, bool) {
 	matching := 0
 	for _, n := range nodes {
@@ -85,50 +89,52 @@
 	return membership.Node{}, false
 }
 
-// Seeds returns the nodes that a starting node asks, for any of them may be the
-// only one that holds the newest revision: those of its region, and those that
-// would ask this node. Two nodes ask each other if they share a region or one
-// is alone in its region. The order is random, so that starting nodes spread.
+// Seeds returns the nodes that a starting node asks for settings; it asks all of
+// them, because any one may be the only node that holds the newest revision. Two
+// nodes are seeds of each other if they share a region or failure domain, or if
+// one of them is the only node of its region. The order is random, so that
+// starting nodes spread their load.
 func Seeds(v *membership.View, rnd *rand.Rand) []membership.Node {
 	out := seeds(v)
 	rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// IsSeed says whether this node would ask the node with a peer address at a
-// start, and so find again what that node holds.
+// IsSeed returns whether the node with a peer address is a seed of this node, so
+// that this node would recover from it after a restart what it holds.
 func IsSeed(v *membership.View, addr string) bool {
 	return slices.ContainsFunc(seeds(v), func(n membership.Node) bool { return n.PeerAddr == addr })
 }
 
+// seeds returns the nodes of Seeds in the order of the view.
 func seeds(v *membership.View) []membership.Node {
 	self, _ := v.Node(v.Self)
-	population := map[string]int{self.Region: 1}
-	near, far := others(v)
-	for _, n := range append(near, far...) {
-		population[n.Region]++
+	nodesInRegion := map[string]int{self.Region: 1}
+	sameDomain, otherDomains := others(v)
+	for _, n := range append(sameDomain, otherDomains...) {
+		nodesInRegion[n.Region]++
 	}
-	out := near
-	for _, n := range far {
-		if n.Region == self.Region || population[n.Region] == 1 || population[self.Region] == 1 {
+	out := sameDomain
+	for _, n := range otherDomains {
+		if n.Region == self.Region || nodesInRegion[n.Region] == 1 || nodesInRegion[self.Region] == 1 {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// others returns the nodes that are not dead, in and outside of this node's
-// failure domain.
-func others(v *membership.View) (near, far []membership.Node) {
+// others returns the other nodes that are not dead, in this node's failure domain
+// and in other ones.
+func others(v *membership.View) (sameDomain, otherDomains []membership.Node) {
 	self, _ := v.Node(v.Self)
 	for _, n := range v.Nodes {
 		switch {
 		case n.ID == v.Self || n.State == membership.Dead:
 		case n.FailureDomain == self.FailureDomain:
-			near = append(near, n)
+			sameDomain = append(sameDomain, n)
 		default:
-			far = append(far, n)
+			otherDomains = append(otherDomains, n)
 		}
 	}
-	return near, far
+	return sameDomain, otherDomains
 }
