--- a/settings/acceptor/acceptor.go
+++ b/settings/acceptor/acceptor.go
@@ -1,7 +1,8 @@
-// Package acceptor accepts operators' changes: it checks each document and
-// commits it by compare-and-swap under the next revision of the fleet, or says
-// what to mend. Any node may do so at any time, several at once as well; only
-// the compares make it safe, the duty merely saves work.
+// Package acceptor decides on operators' changes: it validates each document and
+// either commits it by compare-and-swap under the next revision of the fleet, or
+// refuses it and writes its faults to the team's status. Several nodes may do so
+// at the same time: safety depends only on the compares. The duty, which limits
+// the work to two nodes, avoids duplicate work.
 package acceptor
 
 import (
@@ -22,30 +23,33 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// ServiceID is the kernel name of the Acceptor.
+// ServiceID is the kernel ID of the Acceptor.
 const ServiceID kernel.ID = "settings.acceptor"
 
 const (
-	// dutyInterval is the time between looks at the membership view.
+	// dutyInterval is the time between checks whether this node has the duty.
 	dutyInterval = 500 * time.Millisecond
-	// GroupDelay lets changes that come together share a transaction.
+	// GroupDelay is the wait after a change, so that changes written at about
+	// the same time share a transaction.
 	GroupDelay = 50 * time.Millisecond
-	// StandbyDelay is how long the standby leaves a change to the first.
+	// StandbyDelay is how long the standby waits for the primary to decide on
+	// a change.
 	StandbyDelay = time.Second
-	// resyncInterval is the time after which everything is listed anew, in
+	// resyncInterval is the time after which all keys are listed again, in
 	// case a watch lost a change without an error.
 	resyncInterval = 5 * time.Minute
-	// retryDelay is the wait after the store failed.
+	// retryDelay is the wait after a store error.
 	retryDelay = 500 * time.Millisecond
 )
 
-// errConflict means that something changed since it was read.
+// errConflict is returned when a compare of the transaction failed: a key changed
+// since it was read.
 var errConflict = errors.New("settings: the store changed since it was read; read again")
 
-// HeadSource gives the highest accepted revision that this node holds.
+// HeadSource returns the highest accepted revision that this node holds.
 type HeadSource interface{ Head() int64 }
 
-// Acceptor accepts changes while this node has the duty.
+// Acceptor decides on changes while this node has the duty.
 type Acceptor struct {
 	store   store.Store
 	log     *log.Logger
@@ -80,7 +84,8 @@
 	return nil
 }
 
-// position returns 0 for the node that accepts, 1 for its standby, -1 else.
+// position returns 0 if this node is the primary acceptor, 1 if it is the standby,
+// -1 otherwise.
 func (a *Acceptor) position() int {
 	v := a.members.View()
 	return duty.Position(duty.Acceptors(v), v.Self)
@@ -93,13 +98,14 @@
 			continue
 		}
 		if err := a.serve(ctx); err != nil && ctx.Err() == nil {
-			a.log.Warn("settings are not accepted for now", "err", err)
+			a.log.Warn("cannot accept settings; retrying", "err", err)
 			pause.Sleep(ctx, retryDelay)
 		}
 	}
 }
 
-// serve accepts changes until the duty or the watch ends.
+// serve lists the settings and decides on changes until this node loses the duty,
+// the watch ends or resyncInterval has passed.
 func (a *Acceptor) serve(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, resyncInterval)
 	defer cancel()
@@ -115,9 +121,9 @@
 	tick := time.NewTicker(dutyInterval)
 	defer tick.Stop()
 	for {
-		var due <-chan time.Time
+		var timer <-chan time.Time
 		if s.dirty {
-			due = time.After(s.delay())
+			timer = time.After(s.delay())
 		}
 		select {
 		case b, ok := <-batches:
@@ -125,8 +131,8 @@
 				return b.Err
 			}
 			s.observe(b.Events)
-		case <-due:
-			if err := s.settle(ctx); err != nil {
+		case <-timer:
+			if err := s.decidePending(ctx); err != nil {
 				return err
 			}
 		case <-tick.C:
@@ -139,36 +145,39 @@
 	}
 }
 
-// session is the work between two lists of the store.
+// session holds the state of the work between two lists of the store.
 type session struct {
-	a     *Acceptor
-	tree  *Tree
-	dirty bool
-	since time.Time
+	a          *Acceptor
+	tree       *Tree
+	dirty      bool      // there may be pending changes
+	dirtySince time.Time // when dirty was set by a change
 }
 
+// observe applies events to the tree.
 func (s *session) observe(events []store.Event) {
 	for _, e := range events {
 		s.tree.observe(e)
 	}
 	if len(events) > 0 && !s.dirty {
-		s.dirty, s.since = true, s.a.now()
+		s.dirty, s.dirtySince = true, s.a.now()
 	}
 }
 
-// delay returns how long to wait for more changes, or for the first acceptor.
+// delay returns the remaining time to wait for more changes or, on the standby,
+// for the primary.
 func (s *session) delay() time.Duration {
 	wait := GroupDelay
 	if s.a.position() > 0 {
 		wait = StandbyDelay
 	}
-	return wait - s.a.now().Sub(s.since)
+	return wait - s.a.now().Sub(s.dirtySince)
 }
 
-// settle decides on every pending change.
-func (s *session) settle(ctx context.Context) error {
+// decidePending decides on every pending change. The standby first reads whether the
+// primary has decided.
+func (s *session) decidePending(ctx context.Context) error {
 	if s.a.position() > 0 {
-		if done, err := s.settledElsewhere(ctx); done || err != nil {
+		if done, err := s.decidedElsewhere(ctx); done || err != nil {
 			s.dirty = false
 			return err
 		}
@@ -185,8 +194,9 @@
 	}
 }
 
-// settledElsewhere reads what became of the pending teams, and takes it over.
-func (s *session) settledElsewhere(ctx context.Context) (bool, error) {
+// decidedElsewhere reads the decisions on the pending teams from the store into
+// the tree. It returns whether no team is pending any more.
+func (s *session) decidedElsewhere(ctx context.Context) (bool, error) {
 	pending := s.tree.pending()
 	if len(pending) > 1 {
 		tree, _, err := readTree(ctx, s.a.store)
@@ -215,6 +225,7 @@
 	return len(s.tree.pending()) == 0, nil
 }
 
+// keysOf returns the keys of the teams' records and statuses.
 func keysOf(teams []string) []string {
 	var out []string
 	for _, team := range teams {
@@ -223,8 +234,9 @@
 	return out
 }
 
-// commit writes the records to accept or, when there are none, the refusals:
-// a document that another pending one clashes with is decided last.
+// commit writes the records to accept or, if there are none, the refusals. A
+// refusal waits because another pending document, once accepted, may resolve the
+// clash that it reports.
 func (s *session) commit(ctx context.Context, p Plan) error {
 	if len(p.Accept) == 0 {
 		return s.refuse(ctx, p.Refuse)
@@ -233,11 +245,11 @@
 	if err != nil {
 		return err
 	}
-	mod, err := s.write(ctx, txn, head.WriteID)
+	modRevision, err := s.write(ctx, txn, head.WriteID)
 	if err != nil {
 		return err
 	}
-	s.tree.accepted(p.Accept, head, mod)
+	s.tree.recordAccepted(p.Accept, head, modRevision)
 	s.a.metrics.accepted.Add(float64(len(p.Accept)))
 	s.a.log.Info("settings accepted", "revision", head.Revision, "teams", len(p.Accept))
 	return nil
@@ -248,11 +260,11 @@
 	if err != nil {
 		return err
 	}
-	mod, err := s.write(ctx, txn, "")
+	modRevision, err := s.write(ctx, txn, "")
 	if err != nil {
 		return err
 	}
-	s.tree.refused(statuses, mod)
+	s.tree.recordRefused(statuses, modRevision)
 	for _, st := range statuses {
 		for _, f := range st.Faults {
 			s.a.metrics.refused.WithLabelValues(string(f.Reason)).Inc()
@@ -263,10 +275,12 @@
 	return nil
 }
 
-// write commits a transaction. A lost answer is settled by reading the head's
-// write ID back; one without a write ID is decided anew, which is idempotent.
+// write commits a transaction and returns the store's revision of the commit. If
+// the response was lost, the write ID in the head shows whether the transaction
+// took effect. A refusal has no write ID: it returns the error and is decided
+// again, which is idempotent.
 func (s *session) write(ctx context.Context, txn store.Txn, writeID string) (int64, error) {
-	mod, ok, err := s.a.store.Commit(ctx, txn)
+	modRevision, ok, err := s.a.store.Commit(ctx, txn)
 	switch {
 	case errors.Is(err, store.ErrUncertain):
 		s.a.metrics.commits.WithLabelValues(resultUncertain).Inc()
@@ -279,9 +293,11 @@
 		return 0, errConflict
 	}
 	s.a.metrics.commits.WithLabelValues(resultOK).Inc()
-	return mod, nil
+	return modRevision, nil
 }
 
+// readBack returns the store's revision of the head if the head has the write ID,
+// otherwise the error of the lost response.
 func (s *session) readBack(ctx context.Context, writeID string, lost error) (int64, error) {
 	kv, ok, err := s.a.store.Get(ctx, accepted.HeadKey)
 	if err != nil || !ok {
--- a/settings/acceptor/acceptor_test.go
+++ b/settings/acceptor/acceptor_test.go
@@ -27,6 +27,7 @@
 	bad    = `{"modles":{}}`
 )
 
+// soleNode is the membership and head source of a fleet of one node.
 type soleNode struct{}
 
 func (soleNode) View() *membership.View {
@@ -35,7 +36,8 @@
 
 func (soleNode) Head() int64 { return 0 }
 
-// lossyStore loses the answers of commits or refuses them.
+// lossyStore fails commits: lose applies the commit and drops the response, drop
+// drops the commit, refuse returns ErrUnavailable.
 type lossyStore struct {
 	store.Store
 	lose, refuse, drop bool
@@ -61,19 +63,20 @@
 	return a
 }
 
+// write writes a team's document, or deletes it if doc is empty.
 func write(s store.Store, team, doc string) int64 {
 	op := store.Op{Key: settings.TeamKey(team), Value: []byte(doc), Delete: doc == ""}
 	rev, _, _ := s.Commit(context.Background(), store.Txn{Ops: []store.Op{op}})
 	return rev
 }
 
-// settleAnew decides on everything from a fresh list.
-func settleAnew(a *Acceptor) error {
+// decideAll lists the store and decides on every pending change.
+func decideAll(a *Acceptor) error {
 	tree, _, err := readTree(context.Background(), a.store)
 	if err != nil {
 		return err
 	}
-	return (&session{a: a, tree: tree}).settle(context.Background())
+	return (&session{a: a, tree: tree}).decidePending(context.Background())
 }
 
 func read(t *testing.T, s store.Store) *Tree {
@@ -82,19 +85,19 @@
 	return tree
 }
 
-func TestSettle(t *testing.T) {
+func TestDecide(t *testing.T) {
 	cases := []struct {
 		name   string
-		writes [][2]string // team and document, settled one by one
-		force  string      // team a's document in force at the end
+		writes [][2]string // team and document, each decided before the next is written
+		want   string      // team a's accepted document at the end
 		reason settings.Reason
 	}{
 		{"accept", [][2]string{{"a", valid}}, valid, ""},
 		{"refuse and keep the last accepted", [][2]string{{"a", valid}, {"a", bad}}, valid, settings.ReasonUnknownField},
-		{"mend", [][2]string{{"a", bad}, {"a", valid}}, valid, ""},
-		{"shared twice", [][2]string{{"b", shared}, {"a", shared}}, "", settings.ReasonClash},
-		{"the other gives way", [][2]string{{"b", shared}, {"a", shared}, {"b", valid}}, shared, ""},
-		{"the other is deleted", [][2]string{{"b", shared}, {"a", shared}, {"b", ""}}, shared, ""},
+		{"correct a refused document", [][2]string{{"a", bad}, {"a", valid}}, valid, ""},
+		{"name shared by two teams", [][2]string{{"b", shared}, {"a", shared}}, "", settings.ReasonClash},
+		{"the other team stops sharing", [][2]string{{"b", shared}, {"a", shared}, {"b", valid}}, shared, ""},
+		{"the other team is deleted", [][2]string{{"b", shared}, {"a", shared}, {"b", ""}}, shared, ""},
 		{"delete", [][2]string{{"a", valid}, {"a", ""}}, "", ""},
 		{"delete and write again", [][2]string{{"a", valid}, {"a", ""}, {"a", shared}}, shared, ""},
 	}
@@ -104,10 +107,10 @@
 			s := memory.New(time.Now)
 			for _, w := range c.writes {
 				write(s, w[0], w[1])
-				is.NoErr(settleAnew(newAcceptor(s)))
+				is.NoErr(decideAll(newAcceptor(s)))
 			}
 			tree := read(t, s)
-			is.Equal(string(tree.records["a"].Document), c.force)
+			is.Equal(string(tree.records["a"].Document), c.want)
 			faults := tree.statuses["a"].Faults
 			is.Equal(len(faults) > 0, c.reason != "")
 			if c.reason != "" {
@@ -125,17 +128,17 @@
 	for i := range teams {
 		write(s, fmt.Sprintf("t%02d", i), valid)
 	}
-	is.NoErr(settleAnew(newAcceptor(s)))
+	is.NoErr(decideAll(newAcceptor(s)))
 	tree := read(t, s)
 	is.Equal(len(tree.records), teams)
-	is.Equal(tree.head.Revision, int64(2)) // groups of 40 and 10
+	is.Equal(tree.head.Revision, int64(2)) // transactions of 40 and 10 teams
 }
 
 func TestLostAnswers(t *testing.T) {
 	cases := []struct {
 		name    string
 		lossy   lossyStore
-		settled bool // at once, by reading back
+		decided bool // at once, by reading the head back
 	}{
 		{"lost after the write", lossyStore{lose: true}, true},
 		{"lost before the write", lossyStore{drop: true}, false},
@@ -147,10 +150,10 @@
 			s := memory.New(time.Now)
 			write(s, "a", valid)
 			c.lossy.Store = s
-			err := settleAnew(newAcceptor(&c.lossy))
-			is.Equal(err == nil, c.settled)
-			is.NoErr(settleAnew(newAcceptor(s)))
-			is.Equal(read(t, s).head.Revision, int64(1)) // accepted once
+			err := decideAll(newAcceptor(&c.lossy))
+			is.Equal(err == nil, c.decided)
+			is.NoErr(decideAll(newAcceptor(s)))
+			is.Equal(read(t, s).head.Revision, int64(1)) // accepted exactly once
 		})
 	}
 }
@@ -161,13 +164,15 @@
 	a := newAcceptor(s)
 	for range accepted.HistoryLength + 5 {
 		write(s, "a", valid)
-		is.NoErr(settleAnew(a))
+		is.NoErr(decideAll(a))
 	}
 	page, err := s.List(context.Background(), accepted.HistoryPrefix("a"))
 	is.NoErr(err)
 	is.Equal(len(page.KVs), accepted.HistoryLength)
 }
 
+// TestAuthorOnlyOfTheSameWrite checks that a document written without a
+// settings.Change doesn't get the author of an earlier write.
 func TestAuthorOnlyOfTheSameWrite(t *testing.T) {
 	is := is.New(t)
 	s := memory.New(time.Now)
@@ -176,15 +181,16 @@
 		{Key: settings.TeamKey("a"), Value: []byte(valid)}, {Key: settings.ChangeKey("a"), Value: note},
 	}})
 	is.NoErr(err)
-	is.NoErr(settleAnew(newAcceptor(s)))
+	is.NoErr(decideAll(newAcceptor(s)))
 	is.Equal(read(t, s).records["a"].Author, "ana")
 	write(s, "a", shared)
-	is.NoErr(settleAnew(newAcceptor(s)))
+	is.NoErr(decideAll(newAcceptor(s)))
 	is.Equal(read(t, s).records["a"].Author, "")
 }
 
-// TestRacingAcceptors lets several acceptors with trees of any age commit in
-// any order, with lost answers and operators who write meanwhile.
+// TestRacingAcceptors commits from several trees of any age in any order, with
+// lost responses and concurrent writes by operators. Revisions must increase, only
+// valid documents may be accepted, and in the end every change is decided.
 func TestRacingAcceptors(t *testing.T) {
 	teams := []string{"a", "b", "c"}
 	docs := []string{valid, shared, bad, ""}
@@ -200,23 +206,23 @@
 			"write": func(t *rapid.T) {
 				doc := rapid.SampledFrom(docs).Draw(t, "doc")
 				rev := write(s, rapid.SampledFrom(teams).Draw(t, "team"), doc)
-				if doc != "" { // deleting what isn't there makes no revision
+				if doc != "" { // deleting a missing key creates no revision
 					written[rev] = doc
 				}
 			},
 			"read": func(t *rapid.T) {
 				trees[rapid.IntRange(0, 2).Draw(t, "tree")], _, _ = readTree(ctx, s)
 			},
-			"readStale": func(t *rapid.T) { // documents older than records
+			"readStale": func(t *rapid.T) { // documents older than the records
 				old := trees[rapid.IntRange(0, 2).Draw(t, "old")]
 				tree, _, _ := readTree(ctx, s)
 				tree.documents, tree.changes = maps.Clone(old.documents), maps.Clone(old.changes)
 				trees[rapid.IntRange(0, 2).Draw(t, "tree")] = tree
 			},
-			"settle": func(t *rapid.T) {
+			"decide": func(t *rapid.T) {
 				lossy.lose = rapid.Bool().Draw(t, "lose")
 				lossy.drop = rapid.IntRange(0, 3).Draw(t, "drop") == 0
-				_ = (&session{a: a, tree: trees[rapid.IntRange(0, 2).Draw(t, "tree")]}).settle(ctx)
+				_ = (&session{a: a, tree: trees[rapid.IntRange(0, 2).Draw(t, "tree")]}).decidePending(ctx)
 			},
 			"": func(t *rapid.T) {
 				now, _, _ := readTree(ctx, s)
@@ -225,38 +231,38 @@
 			},
 		})
 		lossy.lose, lossy.drop = false, false
-		is.New(rt).NoErr(settleAnew(a))
+		is.New(rt).NoErr(decideAll(a))
 		end, _, _ := readTree(ctx, s)
 		is.New(rt).Equal(end.plan(0, time.Now()), Plan{}) // every change is decided
 	})
 }
 
-// checkStep requires that revisions only grew, and that what is in force was
-// written by an operator and is valid.
+// checkStep checks that revisions only increased, and that the accepted documents
+// were written by operators, are valid and share a name at most once.
 func checkStep(t *rapid.T, last, now *Tree, written map[int64]string) {
 	if now.head.Revision < last.head.Revision {
-		t.Fatalf("head went back from %d to %d", last.head.Revision, now.head.Revision)
+		t.Fatalf("head decreased from %d to %d", last.head.Revision, now.head.Revision)
 	}
 	sharers := 0
 	for team, r := range now.records {
 		old := last.records[team]
-		if r.Revision < old.Revision || r.mod != old.mod && r.Revision == old.Revision {
-			t.Fatalf("team %s went from %d to %d", team, old.Revision, r.Revision)
+		if r.Revision < old.Revision || r.modRevision != old.modRevision && r.Revision == old.Revision {
+			t.Fatalf("revision of team %s went from %d to %d", team, old.Revision, r.Revision)
 		}
 		if r.Revision > now.head.Revision {
-			t.Fatalf("team %s is above the head", team)
+			t.Fatalf("revision of team %s is above the head", team)
 		}
 		if !r.Deleted && r.Change < old.Change {
-			t.Fatalf("team %s: an older document came back", team)
+			t.Fatalf("team %s reverted to an older document", team)
 		}
 		if !r.Deleted && (written[r.Change] != string(r.Document) || written[r.Change] == bad) {
-			t.Fatalf("team %s has %q in force", team, r.Document)
+			t.Fatalf("team %s: accepted document %q is invalid or was never written", team, r.Document)
 		}
 		if string(r.Document) == shared {
 			sharers++
 		}
 	}
 	if sharers > 1 {
-		t.Fatalf("%d teams share one name", sharers)
+		t.Fatalf("%d teams share the same name", sharers)
 	}
 }
--- a/settings/acceptor/bench_test.go
+++ b/settings/acceptor/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// teamDocument is a document with ten workspaces.
+// teamDocument returns a document with ten workspaces.
 func teamDocument(team string) []byte {
 	t := settings.Team{Workspaces: make(map[string]settings.Workspace)}
 	for i := range 10 {
@@ -22,7 +22,7 @@
 	return raw
 }
 
-// BenchmarkPlan decides on one change beside a number of accepted teams.
+// BenchmarkPlan decides on one change with a number of accepted teams in the tree.
 func BenchmarkPlan(b *testing.B) {
 	for _, teams := range []int{10, 69, 480} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
@@ -32,7 +32,7 @@
 				doc := teamDocument(team)
 				t.documents[team] = store.KV{Value: doc, ModRevision: int64(i) + 1}
 				r := accepted.Record{Team: team, Revision: 1, Change: int64(i) + 1, Document: doc}
-				t.records[team] = hold(r, 1)
+				t.records[team] = newHeldRecord(r, 1)
 			}
 			t.documents["team-000"] = store.KV{Value: teamDocument("team-000"), ModRevision: 1000}
 			b.ReportAllocs()
--- a/settings/acceptor/metrics.go
+++ b/settings/acceptor/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// Results of a commit.
+// Values of the result label of acceptor_commits_total.
 const (
 	resultOK          = "ok"
 	resultConflict    = "conflict"
--- a/settings/acceptor/plan.go
+++ b/settings/acceptor/plan.go
@@ -14,15 +14,15 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Limits of one commit: etcd allows 128 operations in a transaction, of which
-// a team takes three and the head one.
+// Limits of one commit: etcd allows 128 operations in a transaction; a team needs
+// three and the head one.
 const (
 	MaxGroup      = 40
 	maxGroupBytes = 512 << 10
 )
 
-// Plan is what one pass decides: the records to accept and the statuses of
-// the documents to refuse.
+// Plan holds the decisions of one pass: the records to accept and the statuses of
+// the refused documents.
 type Plan struct {
 	Accept []accepted.Record
 	Refuse []accepted.Status
@@ -31,8 +31,8 @@
 func (p Plan) empty() bool { return len(p.Accept)+len(p.Refuse) == 0 }
 
 // plan decides on up to MaxGroup teams whose documents changed, oldest change
-// first. A revision is above the tree's head and above floor, the highest
-// revision that this node has seen anywhere.
+// first. The new revision is above the tree's head and above floor, the highest
+// revision that this node holds from any source.
 func (t *Tree) plan(floor int64, now time.Time) Plan {
 	var p Plan
 	revision := max(t.head.Revision, floor) + 1
@@ -55,7 +55,7 @@
 	return p
 }
 
-// inForce returns the accepted documents.
+// inForce returns the accepted documents by team.
 func (t *Tree) inForce() map[string]settings.Team {
 	teams := make(map[string]settings.Team, len(t.records))
 	for team, r := range t.records {
@@ -66,8 +66,9 @@
 	return teams
 }
 
-// pending returns the teams with an undecided change, oldest first. A clash
-// is decided anew each time, for the other team may have given way.
+// pending returns the teams with an undecided change, oldest first. A change that
+// was refused for a clash stays pending, since the other team may have changed its
+// document.
 func (t *Tree) pending() []string {
 	var out []string
 	for team, kv := range t.documents {
@@ -90,10 +91,13 @@
 	return out
 }
 
+// clashed returns whether one of the status's faults is a clash.
 func clashed(s accepted.Status) bool {
 	return slices.ContainsFunc(s.Faults, func(f settings.Fault) bool { return f.Reason == settings.ReasonClash })
 }
 
+// check decodes the team's document and checks it for clashes with the documents of
+// other teams. A deleted document is valid.
 func (t *Tree) check(team string, teams map[string]settings.Team) (settings.Team, []settings.Fault) {
 	kv, ok := t.documents[team]
 	if !ok {
@@ -106,6 +110,7 @@
 	return doc, settings.NewIndex(teams, team).Clashes(team, doc)
 }
 
+// record returns the record that accepts the team's document or its deletion.
 func (t *Tree) record(team string, revision int64, now time.Time) accepted.Record {
 	kv, ok := t.documents[team]
 	return accepted.Record{
@@ -115,7 +120,8 @@
 	}
 }
 
-// refusal returns the status to write, none if it stands already.
+// refusal returns the status that refuses the team's document, none if the store
+// holds the same refusal already.
 func (t *Tree) refusal(team string, faults []settings.Fault, now time.Time) []accepted.Status {
 	old, change := t.statuses[team], t.documents[team].ModRevision
 	if old.Change == change && reflect.DeepEqual(old.Faults, faults) {
@@ -127,11 +133,12 @@
 	}}
 }
 
-// acceptTxn is the transaction that accepts the records, all or none. It
-// fails if any document, record or the head has changed since it was read.
+// acceptTxn returns the transaction that accepts the records, all or none, and the
+// new head. It fails if a document, a record or the head has changed since it was
+// read.
 func (t *Tree) acceptTxn(records []accepted.Record, writeID string) (store.Txn, accepted.Head, error) {
 	head := accepted.Head{Revision: records[0].Revision, Previous: t.head.Revision, WriteID: writeID}
-	txn := store.Txn{Compares: []store.Compare{{Key: accepted.HeadKey, ModRevision: t.headMod}}}
+	txn := store.Txn{Compares: []store.Compare{{Key: accepted.HeadKey, ModRevision: t.headModRevision}}}
 	var err error
 	put := func(key string, value any) {
 		raw, e := json.Marshal(value)
@@ -142,7 +149,7 @@
 		head.Teams = append(head.Teams, r.Team)
 		txn.Compares = append(txn.Compares,
 			store.Compare{Key: settings.TeamKey(r.Team), ModRevision: r.Change},
-			store.Compare{Key: accepted.TeamKey(r.Team), ModRevision: t.records[r.Team].mod})
+			store.Compare{Key: accepted.TeamKey(r.Team), ModRevision: t.records[r.Team].modRevision})
 		put(accepted.TeamKey(r.Team), r)
 		put(accepted.HistoryKey(r), r)
 		put(accepted.StatusKey(r.Team), accepted.Status{
@@ -153,9 +160,10 @@
 	return txn, head, err
 }
 
-// refuseTxn is the transaction that writes the statuses.
+// refuseTxn returns the transaction that writes the statuses. It fails if a document
+// or the head has changed since it was read.
 func (t *Tree) refuseTxn(statuses []accepted.Status) (store.Txn, error) {
-	txn := store.Txn{Compares: []store.Compare{{Key: accepted.HeadKey, ModRevision: t.headMod}}}
+	txn := store.Txn{Compares: []store.Compare{{Key: accepted.HeadKey, ModRevision: t.headModRevision}}}
 	for _, s := range statuses {
 		raw, err := json.Marshal(s)
 		if err != nil {
@@ -167,17 +175,18 @@
 	return txn, nil
 }
 
-// accepted takes over a commit that took effect at the store's revision mod.
-func (t *Tree) accepted(records []accepted.Record, head accepted.Head, mod int64) {
-	t.head, t.headMod = head, mod
+// recordAccepted updates the tree after a commit at the store's revision modRevision.
+func (t *Tree) recordAccepted(records []accepted.Record, head accepted.Head, modRevision int64) {
+	t.head, t.headModRevision = head, modRevision
 	for _, r := range records {
-		t.records[r.Team] = hold(r, mod)
-		t.refused([]accepted.Status{{Team: r.Team, Change: r.Change, Revision: r.Revision}}, mod)
+		t.records[r.Team] = newHeldRecord(r, modRevision)
+		t.recordRefused([]accepted.Status{{Team: r.Team, Change: r.Change, Revision: r.Revision}}, modRevision)
 	}
 }
 
-func (t *Tree) refused(statuses []accepted.Status, mod int64) {
+// recordRefused updates the statuses after a commit at the store's revision modRevision.
+func (t *Tree) recordRefused(statuses []accepted.Status, modRevision int64) {
 	for _, s := range statuses {
-		t.statuses[s.Team] = heldStatus{s, mod}
+		t.statuses[s.Team] = heldStatus{s, modRevision}
 	}
 }
--- a/settings/acceptor/tree.go
+++ b/settings/acceptor/tree.go
@@ -9,18 +9,18 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// heldRecord is a record with its document and the store's revision of its
+// heldRecord is a record with its decoded document and the store's revision of its
 // key.
 type heldRecord struct {
 	accepted.Record
-	doc settings.Team
-	mod int64
+	doc         settings.Team
+	modRevision int64
 }
 
-// hold reads the record's document. One that only a newer version can read is
-// held empty: it blocks no other team, though clashes with it go unseen.
-func hold(r accepted.Record, mod int64) heldRecord {
-	h := heldRecord{Record: r, mod: mod}
+// newHeldRecord decodes the record's document. A document that this version can't decode is
+// held as empty: it blocks no other team, but clashes with it are not detected.
+func newHeldRecord(r accepted.Record, modRevision int64) heldRecord {
+	h := heldRecord{Record: r, modRevision: modRevision}
 	if !r.Deleted && json.Unmarshal(r.Document, &h.doc) != nil {
 		h.doc = settings.Team{}
 	}
@@ -30,19 +30,19 @@
 // heldStatus is a status with the store's revision of its key.
 type heldStatus struct {
 	accepted.Status
-	mod int64
+	modRevision int64
 }
 
-// Tree is what the acceptor has read from the store. Its parts may be older
-// than the store and of different ages; every commit compares what it was
-// planned on.
+// Tree is the acceptor's copy of the settings' keys in the store. Its maps, by team,
+// may be older than the store and of different ages: each commit compares the
+// revisions of the keys that its plan was based on.
 type Tree struct {
-	documents map[string]store.KV
-	changes   map[string]store.KV
-	records   map[string]heldRecord
-	statuses  map[string]heldStatus
-	head      accepted.Head
-	headMod   int64
+	documents       map[string]store.KV // operators' documents
+	changes         map[string]store.KV // encoded settings.Change
+	records         map[string]heldRecord
+	statuses        map[string]heldStatus
+	head            accepted.Head
+	headModRevision int64 // the store's revision of the head, 0 without one
 }
 
 func newTree() *Tree {
@@ -52,8 +52,9 @@
 	}
 }
 
-// readTree lists the operators' tree, the accepted settings and the statuses.
-// It returns the store's revision of the operators' tree.
+// readTree lists the operators' keys, the accepted settings and the statuses. It
+// returns the store's revision of the list of the operators' keys, after which a
+// watch continues.
 func readTree(ctx context.Context, s store.Store) (*Tree, int64, error) {
 	t := newTree()
 	raw, err := s.List(ctx, settings.Prefix)
@@ -77,21 +78,21 @@
 	return t, raw.Revision, nil
 }
 
-// observe takes over a change of the operators' tree. It returns the team
-// whose document changed, "" for another key.
+// observe applies an event on the operators' keys. It returns the team whose
+// document changed, "" for another key.
 func (t *Tree) observe(e store.Event) string {
 	team, document, ok := settings.TeamOfKey(e.KV.Key)
 	if !ok {
 		return ""
 	}
-	into := t.changes
+	kvs := t.changes
 	if document {
-		into = t.documents
+		kvs = t.documents
 	}
 	if e.Deleted {
-		delete(into, team)
+		delete(kvs, team)
 	} else {
-		into[team] = e.KV
+		kvs[team] = e.KV
 	}
 	if !document {
 		return ""
@@ -99,10 +100,11 @@
 	return team
 }
 
+// load applies a key of the accepted settings or of the statuses, by prefix.
 func (t *Tree) load(prefix string, kv store.KV) error {
 	if kv.Key == accepted.HeadKey {
 		h, err := accepted.DecodeHead(kv)
-		t.head, t.headMod = h, kv.ModRevision
+		t.head, t.headModRevision = h, kv.ModRevision
 		return err
 	}
 	if prefix == accepted.StatusPrefix {
@@ -111,12 +113,13 @@
 		return err
 	}
 	r, err := accepted.DecodeRecord(kv)
-	t.records[r.Team] = hold(r, kv.ModRevision)
+	t.records[r.Team] = newHeldRecord(r, kv.ModRevision)
 	return err
 }
 
-// author returns who wrote or deleted the team's document, "" if that was done
-// without a note.
+// author returns who wrote or deleted the team's document, "" if the write had no
+// settings.Change. A Change counts if it has the revision of the document or, for a
+// deletion, if it is newer than the accepted document.
 func (t *Tree) author(team string) string {
 	note, ok := t.changes[team]
 	doc, exists := t.documents[team]
