--- a/settings/follower/bench_test.go
+++ b/settings/follower/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/knapweedgw/knapweedgw/settings/accepted"
 )
 
-// BenchmarkAbsorb takes over and serves one change beside a number of teams
-// of ten workspaces, and reports the heap that the node's copy takes.
-func BenchmarkAbsorb(b *testing.B) {
+// BenchmarkApply applies and serves one change with a number of teams of ten
+// workspaces each, and reports the heap size of the node's copy.
+func BenchmarkApply(b *testing.B) {
 	for _, teams := range []int{10, 69, 480} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
 			before := heap()
@@ -23,13 +23,13 @@
 			for i := range teams {
 				all.Records = append(all.Records, benchRecord(i, 1))
 			}
-			n.absorb(context.Background(), all, sourceStore)
+			n.apply(context.Background(), all, sourceStore)
 			all.Records = nil
 			held := heap() - before
 			r := benchRecord(0, 1)
 			for b.Loop() {
 				r.Revision++
-				n.absorb(context.Background(), accepted.Delta{Since: r.Revision - 1, Through: r.Revision, Records: []accepted.Record{r}}, sourceStore)
+				n.apply(context.Background(), accepted.Delta{Since: r.Revision - 1, Through: r.Revision, Records: []accepted.Record{r}}, sourceStore)
 			}
 			b.ReportMetric(float64(held), "heap-B")
 			runtime.KeepAlive(n)
--- a/settings/follower/exchange.go
+++ b/settings/follower/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/knapweedgw/knapweedgw/settings/duty"
 )
 
-// Methods between nodes.
+// Methods of the calls between nodes.
 const (
 	methodAnnounce = "settings.announce"
 	methodPull     = "settings.pull"
@@ -21,48 +21,54 @@
 )
 
 const (
-	// callTimeout bounds one call to a peer.
+	// callTimeout is the timeout of a call to a peer.
 	callTimeout = time.Second
-	// HintTimeout bounds one call that follows a new revision: the peer is
-	// near and the delta small.
+	// HintTimeout is the timeout of a call that follows a new revision. It is
+	// shorter than callTimeout because the peer is close and the delta small.
 	HintTimeout = 300 * time.Millisecond
-	// LaterDelay is how long a relay leaves the other's part of the failure
-	// domain to it.
+	// LaterDelay is how long a relay waits before it announces also to the
+	// other relay's part of the failure domain.
 	LaterDelay = 50 * time.Millisecond
-	// HintTries is the number of tries of such a call.
+	// HintTries is the largest number of attempts of a call that follows a
+	// new revision.
 	HintTries = 3
 	// antiEntropyInterval is the mean time between a node's comparisons of
-	// heads with another node; it is freshInterval during freshTime after the
-	// start, for the relays' views don't show a new node at once.
+	// heads with another node. It is startupInterval during startupPeriod after the
+	// start, because relays announce to a new node only after it has appeared
+	// in their views.
 	antiEntropyInterval = 2 * time.Second
-	freshInterval       = 500 * time.Millisecond
-	freshTime           = 15 * time.Second
-	// maxParallelCalls bounds the calls of one announcement or start.
+	startupInterval     = 500 * time.Millisecond
+	startupPeriod       = 15 * time.Second
+	// maxParallelCalls limits the concurrent calls of one announcement or
+	// bootstrap.
 	maxParallelCalls = 16
 )
 
-// headMessage tells a node's head. From is its peer address.
+// headMessage carries a node's head. From is the sender's peer address.
 type headMessage struct {
 	Head int64  `json:"head"`
 	From string `json:"from,omitempty"`
-	// Ready says that the node serves settings.
+	// Ready is whether the node serves settings.
 	Ready bool `json:"ready,omitempty"`
 }
 
-// hint says that a peer may hold more than this node.
+// hint names a peer that may hold a higher head than this node. tries counts the
+// failed pulls.
 type hint struct {
 	addr  string
 	head  int64
 	tries int
 }
 
+// handle registers the handlers of the calls between nodes.
 func (f *Follower) handle() {
 	f.peers.Handle(methodAnnounce, f.onHead)
 	f.peers.Handle(methodHead, f.onHead)
 	f.peers.Handle(methodPull, f.onPull)
 }
 
-// onHead answers an announcement or a question with this node's head.
+// onHead handles an announcement or a request for the head; the response is this
+// node's head.
 func (f *Follower) onHead(_ context.Context, params json.RawMessage) (any, error) {
 	var m headMessage
 	if err := json.Unmarshal(params, &m); err != nil {
@@ -72,7 +78,7 @@
 	return headMessage{Head: f.Head(), Ready: f.Snapshot() != nil}, nil
 }
 
-// onPull answers with what is newer than the asking node's head.
+// onPull responds with the records newer than the caller's head.
 func (f *Follower) onPull(_ context.Context, params json.RawMessage) (any, error) {
 	var m headMessage
 	if err := json.Unmarshal(params, &m); err != nil {
@@ -84,30 +90,32 @@
 	return f.state.Since(m.Head), nil
 }
 
-// learn takes over what another node says of its head.
+// learn handles another node's head: it confirms what both nodes hold, and queues a
+// pull if the other head is higher.
 func (f *Follower) learn(m headMessage) {
 	f.confirm(m.From, m.Head)
 	if m.From != "" && m.Head > f.Head() {
-		f.hint(hint{addr: m.From, head: m.Head})
+		f.queueHint(hint{addr: m.From, head: m.Head})
 	}
 }
 
-// hint asks the pull loop for a pull. When many wait already, one more isn't
-// needed: anti-entropy covers it.
-func (f *Follower) hint(h hint) {
+// queueHint queues a pull for the pull loop. A hint that doesn't fit into the queue
+// is dropped; anti-entropy covers it.
+func (f *Follower) queueHint(h hint) {
 	select {
 	case f.hints <- h:
 	default:
 	}
 }
 
+// self returns this node's entry in the view.
 func (f *Follower) self() membership.Node {
 	v := f.members.View()
 	n, _ := v.Node(v.Self)
 	return n
 }
 
-// announce tells the failure domain of a new head if this node is a relay.
+// announce sends a new head to the failure domain if this node is a relay.
 func (f *Follower) announce(ctx context.Context, head int64) {
 	v := f.members.View()
 	self, _ := v.Node(v.Self)
@@ -115,16 +123,17 @@
 		return
 	}
 	m := headMessage{Head: head, From: self.PeerAddr}
-	tell := func(n membership.Node) { f.announceTo(ctx, n.PeerAddr, m) }
+	send := func(n membership.Node) { f.announceTo(ctx, n.PeerAddr, m) }
 	first, later := duty.Announcees(v)
-	f.spawn(func() { f.each(first, tell) })
+	f.spawn(func() { f.forEach(first, send) })
 	f.spawn(func() {
 		f.wait(ctx, LaterDelay)
-		f.each(later, tell)
+		f.forEach(later, send)
 	})
 }
 
-// announceTo tries until the peer answers or a newer head makes it needless.
+// announceTo sends the head until the peer answers, this node holds a newer head, or
+// HintTries attempts have failed.
 func (f *Follower) announceTo(ctx context.Context, addr string, m headMessage) {
 	for range HintTries {
 		reply, err := f.askHead(ctx, addr, methodAnnounce, m, HintTimeout)
@@ -139,6 +148,7 @@
 	}
 }
 
+// askHead sends this node's head and returns the peer's.
 func (f *Follower) askHead(ctx context.Context, addr, method string, m headMessage, timeout time.Duration) (headMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -147,8 +157,8 @@
 	return reply, err
 }
 
-// each calls do for every node, maxParallelCalls at a time, and waits.
-func (f *Follower) each(nodes []membership.Node, do func(membership.Node)) {
+// forEach calls do for every node, maxParallelCalls at a time, and waits for all.
+func (f *Follower) forEach(nodes []membership.Node, do func(membership.Node)) {
 	slots := make(chan struct{}, maxParallelCalls)
 	var wg sync.WaitGroup
 	for _, n := range nodes {
@@ -161,7 +171,7 @@
 	wg.Wait()
 }
 
-// pullLoop pulls from the peers that are said to hold more.
+// pullLoop pulls from the peers of the queued hints.
 func (f *Follower) pullLoop(ctx context.Context) {
 	for {
 		select {
@@ -173,8 +183,9 @@
 	}
 }
 
-// follow pulls what a hint promises, unless this node holds it by now and
-// knows of another that does. A pull that fails goes to the end of the queue.
+// follow pulls from the hint's peer, unless this node already holds the hint's head
+// and has it confirmed by another node. A failed pull goes to the end of the queue,
+// up to HintTries attempts.
 func (f *Follower) follow(ctx context.Context, h hint) {
 	if f.confirmed() >= h.head {
 		return
@@ -185,12 +196,13 @@
 	}
 	f.log.Debug("settings not pulled", "peer", h.addr, "tries", h.tries, "err", err)
 	if h.tries++; h.tries < HintTries {
-		f.hint(h)
+		f.queueHint(h)
 	}
 }
 
-// pull takes over what the peer holds beyond this node's head. The last call,
-// which brings nothing, tells each of both that the other holds it.
+// pull applies the peer's records above this node's head. It pulls until a response
+// has nothing new: that last call confirms to each of the two nodes that the other
+// holds the same head.
 func (f *Follower) pull(ctx context.Context, addr string, timeout time.Duration) error {
 	for {
 		since := f.Head()
@@ -200,17 +212,18 @@
 			return err
 		}
 		f.confirm(addr, d.Through)
-		f.absorb(ctx, d, sourcePeer)
+		f.apply(ctx, d, sourcePeer)
 		if f.Head() <= since {
-			f.seekHolder(ctx)
+			f.announceToSeed(ctx)
 			return nil
 		}
 	}
 }
 
-// seekHolder tells one node that a restart would ask of what came from
-// elsewhere, so that it comes to hold it too.
-func (f *Follower) seekHolder(ctx context.Context) {
+// announceToSeed announces this node's head to one of its seeds if no seed has
+// confirmed it, so that the seed pulls it and a restart of this node finds it
+// again.
+func (f *Follower) announceToSeed(ctx context.Context) {
 	head := f.Head()
 	if f.confirmed() >= head {
 		return
@@ -221,6 +234,7 @@
 	}
 }
 
+// pullOnce requests the peer's records above a revision.
 func (f *Follower) pullOnce(ctx context.Context, addr string, since int64, timeout time.Duration) (accepted.Delta, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -229,11 +243,11 @@
 	return d, err
 }
 
-// newRand returns a random source of its own for one loop.
+// newRand returns a new random source; one isn't safe for concurrent use.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// antiEntropyLoop compares heads with another node now and then; the one that
-// is behind pulls.
+// antiEntropyLoop periodically compares heads with another node; the node with the
+// lower head pulls from the other.
 func (f *Follower) antiEntropyLoop(ctx context.Context) {
 	rnd := newRand()
 	start := f.now()
@@ -244,21 +258,23 @@
 			continue
 		}
 		if err := f.pull(ctx, n.PeerAddr, callTimeout); err != nil {
-			f.log.Debug("heads not compared; the next round asks another node", "peer", n.PeerAddr, "err", err)
+			f.log.Debug("anti-entropy failed; the next round calls another node", "peer", n.PeerAddr, "err", err)
 		}
 	}
 }
 
-// AntiEntropyDelay returns the time until the next comparison of a node that
-// started some time ago: between half and one and a half times the mean.
+// AntiEntropyDelay returns the time until the next comparison of heads of a node
+// that started age ago: a random time between half and one and a half times the
+// mean interval.
 func AntiEntropyDelay(age time.Duration, rnd *rand.Rand) time.Duration {
 	mean := antiEntropyInterval
-	if age < freshTime {
-		mean = freshInterval
+	if age < startupPeriod {
+		mean = startupInterval
 	}
 	return mean/2 + time.Duration(rnd.Int64N(int64(mean)))
 }
 
+// resultOf returns the result label of a call.
 func resultOf(err error) string {
 	if err != nil {
 		return "failed"
--- a/settings/follower/fake_test.go
+++ b/settings/follower/fake_test.go
@@ -20,14 +20,14 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// network connects the followers of a test; addresses are node IDs.
+// network delivers calls between the followers of a test; addresses are node IDs.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]map[string]peer.Handler
-	lost     func(to string) bool // nil loses nothing
+	lost     func(to string) bool // calls to the node fail; nil for none
 }
 
-// link is a node's side of the network.
+// link implements Peers for one node of the network.
 type link struct {
 	net  *network
 	self string
@@ -73,8 +73,8 @@
 	clock time.Time
 }
 
-// newFleet returns nodes "n0", "n1", … spread over failure domains, and those
-// over regions.
+// newFleet returns nodes "n0", "n1", … spread evenly over failure domains, and the
+// failure domains over regions.
 func newFleet(nodes, domains, regions int) *fleet {
 	f := &fleet{
 		net:   &network{handlers: make(map[string]map[string]peer.Handler)},
@@ -100,8 +100,8 @@
 
 func (v fixedView) View() *membership.View { return v.v }
 
-// replace starts a node anew, without what the former one held. Its work is
-// done by the test, not in the background.
+// replace replaces a node by a new one without settings, like a restart. The test
+// runs its work; there are no background goroutines.
 func (f *fleet) replace(i int) *Follower {
 	n := New(f.store, log.New(io.Discard), prometheus.NewRegistry())
 	n.now = func() time.Time { return f.clock }
@@ -114,7 +114,7 @@
 	return n
 }
 
-// start does what bootstrap does in one round.
+// start does one round of bootstrap.
 func (f *fleet) start(i int) {
 	ctx := context.Background()
 	n := f.nodes[i]
@@ -126,8 +126,8 @@
 	n.publish()
 }
 
-// drain pulls what the node was hinted at.
-func (f *fleet) drain(i int) {
+// drainHints processes the node's queued hints.
+func (f *fleet) drainHints(i int) {
 	for {
 		select {
 		case h := <-f.nodes[i].hints:
@@ -156,26 +156,27 @@
 	}
 	put(accepted.HeadKey, head)
 	_, _, _ = f.store.Store.Commit(ctx, txn)
-	f.store.remember(head)
+	f.store.savePage(head)
 }
 
-// faultyStore answers with old pages, or not at all.
+// faultyStore answers reads with an old page, or fails them during an outage.
 type faultyStore struct {
 	store.Store
-	mu     sync.Mutex
-	outage bool
-	stale  int // index of the page to answer with, -1 or beyond for the newest
-	pages  []store.Page
-	heads  []accepted.Head
-	raw    []store.KV // the operators' tree
+	mu          sync.Mutex
+	outage      bool
+	pageIndex   int             // index of the page to answer with
+	pages       []store.Page    // the accepted settings after each commit
+	heads       []accepted.Head // the head after each commit
+	operatorKVs []store.KV      // the keys that operators write
 }
 
-func (s *faultyStore) remember(h accepted.Head) {
+// savePage saves the accepted settings after a commit and answers with them.
+func (s *faultyStore) savePage(h accepted.Head) {
 	page, _ := s.Store.List(context.Background(), accepted.Prefix)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pages, s.heads = append(s.pages, page), append(s.heads, h)
-	s.stale = len(s.pages) - 1
+	s.pageIndex = len(s.pages) - 1
 }
 
 func (s *faultyStore) page() store.Page {
@@ -184,10 +185,10 @@
 	if len(s.pages) == 0 {
 		return store.Page{}
 	}
-	return s.pages[s.stale]
+	return s.pages[s.pageIndex]
 }
 
-func (s *faultyStore) down() bool {
+func (s *faultyStore) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage
@@ -200,7 +201,7 @@
 }
 
 func (s *faultyStore) Get(_ context.Context, key string) (store.KV, bool, error) {
-	if s.down() {
+	if s.isDown() {
 		return store.KV{}, false, store.ErrUnavailable
 	}
 	kvs := s.page().KVs
@@ -212,25 +213,25 @@
 }
 
 func (s *faultyStore) List(_ context.Context, prefix string) (store.Page, error) {
-	if s.down() {
+	if s.isDown() {
 		return store.Page{}, store.ErrUnavailable
 	}
 	page := s.page()
 	if prefix == settings.Prefix {
-		return store.Page{KVs: s.raw}, nil
+		return store.Page{KVs: s.operatorKVs}, nil
 	}
 	page.KVs = slices.DeleteFunc(slices.Clone(page.KVs), func(kv store.KV) bool { return !strings.HasPrefix(kv.Key, prefix) })
 	return page, nil
 }
 
 func (s *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
-	if s.down() {
+	if s.isDown() {
 		return nil, store.ErrUnavailable
 	}
 	return s.Store.Watch(ctx, prefix, from)
 }
 
-// events are those of one acceptance, as a watch sends them.
+// events returns the events of one commit as a watch sends them.
 func (s *faultyStore) events(i int) []store.Event {
 	var out []store.Event
 	for _, kv := range s.pages[i].KVs {
--- a/settings/follower/follower.go
+++ b/settings/follower/follower.go
@@ -1,8 +1,8 @@
-// Package follower keeps a node's copy of the accepted settings. Two relays of
-// each failure domain watch the store and announce new revisions; the other
-// nodes pull from them. Slow anti-entropy between nodes covers what is lost,
-// and a starting node asks its peers as well as the store. What is in force
-// never moves to a lower revision.
+// Package follower replicates the accepted settings to a node and serves them. Two
+// relays in each failure domain watch the store and announce new revisions; the
+// other nodes pull from them. Periodic anti-entropy between nodes repairs lost
+// announcements, and a starting node asks its peers as well as the store. The
+// revision in force on a node never decreases.
 package follower
 
 import (
@@ -42,7 +42,7 @@
 	members membership.Source
 	peers   Peers
 
-	hints chan hint
+	hints chan hint    // pulls queued for pullLoop
 	spawn func(func()) // starts a goroutine
 	wait  func(context.Context, time.Duration)
 	snap  atomic.Pointer[settings.Snapshot]
@@ -50,8 +50,8 @@
 	mu    sync.Mutex
 	state accepted.State
 	gate  gate
-	docs  map[string]settings.Team // decoded records of state
-	ready bool                     // the start is done; served from now on
+	docs  map[string]settings.Team // decoded documents of state, by team
+	ready bool                     // bootstrap is done: settings may be served
 }
 
 // New returns a follower.
@@ -67,11 +67,11 @@
 // ID implements kernel.Service.
 func (f *Follower) ID() kernel.ID { return settings.ServiceID }
 
-// Snapshot returns the settings in force, nil before the first.
+// Snapshot returns the settings in force, nil if none are in force yet.
 func (f *Follower) Snapshot() *settings.Snapshot { return f.snap.Load() }
 
-// Head returns the revision through which this node holds the settings; those
-// in force may be older for an instant.
+// Head returns the revision through which this node holds the settings. The
+// settings in force may be older for up to holdTimeout.
 func (f *Follower) Head() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Start implements kernel.Starter. The first settings are found in the
+// Start implements kernel.Starter. It returns at once and bootstraps in the
 // background.
 func (f *Follower) Start(ctx context.Context) error {
 	go f.run(ctx)
@@ -105,7 +105,7 @@
 	f.relayLoop(ctx)
 }
 
-// source says where a delta came from.
+// source is the origin of a delta, used as a metric label.
 type source string
 
 const (
@@ -113,15 +113,15 @@
 	sourcePeer  source = "peer"
 )
 
-// absorb applies a delta and serves what may be served. It returns whether
-// changes before the delta are missing.
-func (f *Follower) absorb(ctx context.Context, d accepted.Delta, from source) (gap bool) {
+// apply applies a delta. If the head increases, it announces the new head and serves
+// it once the gate allows. It returns whether changes before the delta are missing.
+func (f *Follower) apply(ctx context.Context, d accepted.Delta, from source) (gap bool) {
 	f.mu.Lock()
 	before := f.state.Head()
 	res := f.state.Apply(d)
 	f.decode(res.Changed)
 	head := f.state.Head()
-	f.gate.hold(head, f.now())
+	f.gate.recordHeld(head, f.now())
 	f.metrics.held.Set(float64(head))
 	f.mu.Unlock()
 	f.metrics.stale.WithLabelValues(string(from)).Add(float64(res.Stale))
@@ -136,8 +136,9 @@
 	return res.Gap
 }
 
-// decode reads the documents of the teams named. Fields unknown to this
-// version are ignored: a newer node has accepted them. f.mu is held.
+// decode decodes the documents of the teams. Fields unknown to this version are
+// ignored, because a node with a newer version has accepted them. A document that
+// can't be decoded leaves the team's previous one in force. f.mu must be held.
 func (f *Follower) decode(teams []string) {
 	for _, team := range teams {
 		r, _ := f.state.Record(team)
@@ -148,7 +149,7 @@
 		var doc settings.Team
 		if err := json.Unmarshal(r.Document, &doc); err != nil {
 			f.metrics.undecodable.Inc()
-			f.log.Error("accepted settings can't be read; the team's former ones stay in force; upgrade this node",
+			f.log.Error("accepted settings cannot be decoded; the team's previous ones stay in force; upgrade this node",
 				"team", team, "revision", r.Revision, "err", err)
 			continue
 		}
@@ -156,8 +157,8 @@
 	}
 }
 
-// confirm notes that the node at a peer address has a head now. It counts only
-// if this node would ask that one at a start.
+// confirm records that the node at a peer address holds a head. Only the heads of
+// seeds count, since only those are asked after a restart.
 func (f *Follower) confirm(addr string, head int64) {
 	if !duty.IsSeed(f.members.View(), addr) {
 		return
@@ -168,15 +169,16 @@
 	f.publish()
 }
 
-// confirmed returns the highest revision held here and known to be held by
-// another node.
+// confirmed returns the highest revision that this node holds and a seed has
+// confirmed.
 func (f *Follower) confirmed() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gate.confirmed
 }
 
-// publish puts in force what this node holds, if the gate allows it.
+// publish puts the held settings in force if the bootstrap is done and the gate
+// allows it.
 func (f *Follower) publish() {
 	alone := len(f.members.View().Nodes) <= 1
 	f.mu.Lock()
@@ -191,7 +193,7 @@
 	case serveUnconfirmed:
 		f.metrics.unconfirmed.Inc()
 	}
-	f.gate.serving(head)
+	f.gate.recordServed(head)
 	teams := maps.Clone(f.docs)
 	f.snap.Store(settings.NewSnapshot(head, teams))
 	f.metrics.served.Set(float64(head))
--- a/settings/follower/follower_test.go
+++ b/settings/follower/follower_test.go
@@ -17,24 +17,25 @@
 
 const document = `{"models":{"m":{}}}`
 
+// TestGate holds revision 5 and checks the decision for it.
 func TestGate(t *testing.T) {
 	cases := []struct {
 		name      string
 		confirmed int64
 		alone     bool
 		after     time.Duration
-		want      verdict
+		want      decision
 	}{
-		{"nobody else holds it", 4, false, 0, wait},
-		{"another holds it", 5, false, 0, serve},
+		{"not confirmed", 4, false, 0, wait},
+		{"confirmed", 5, false, 0, serve},
 		{"alone", 0, true, 0, serve},
-		{"nobody answers in time", 4, false, holdTimeout, serveUnconfirmed},
+		{"not confirmed in time", 4, false, holdTimeout, serveUnconfirmed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var g gate
 			start := time.Unix(0, 0)
-			g.hold(5, start)
+			g.recordHeld(5, start)
 			g.confirm(c.confirmed)
 			is.New(t).Equal(g.decide(5, c.alone, start.Add(c.after)), c.want)
 		})
@@ -48,21 +49,21 @@
 		head  int64 // -1 for not serving
 	}{
 		{"store and peers answer", func(*fleet) {}, 3},
-		{"store out, peers answer", func(f *fleet) { f.store.setOutage(true) }, 3},
-		{"store stale, peers answer", func(f *fleet) { f.store.stale = 0 }, 3},
-		{"store answers, peers lost", func(f *fleet) { f.net.lost = func(string) bool { return true } }, 3},
+		{"store unavailable, peers answer", func(f *fleet) { f.store.setOutage(true) }, 3},
+		{"store stale, peers answer", func(f *fleet) { f.store.pageIndex = 0 }, 3},
+		{"store answers, peers unreachable", func(f *fleet) { f.net.lost = func(string) bool { return true } }, 3},
 		{"one peer has an old copy", func(f *fleet) {
 			old := f.replace(1)
-			f.store.stale = 0
+			f.store.pageIndex = 0
 			_, _ = old.catchUp(context.Background())
 			old.ready = true
 			f.store.setOutage(true)
 		}, 3},
-		{"nobody answers", func(f *fleet) {
+		{"store and peers unavailable", func(f *fleet) {
 			f.store.setOutage(true)
 			f.net.lost = func(string) bool { return true }
 		}, -1},
-		{"store out, peers not started", func(f *fleet) {
+		{"store unavailable, peers not started", func(f *fleet) {
 			f.store.setOutage(true)
 			for i := range f.nodes {
 				f.replace(i)
@@ -99,12 +100,12 @@
 	}
 }
 
-func TestUnreadableRecordKeepsTheFormer(t *testing.T) {
+func TestUndecodableRecordKeepsThePrevious(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 1, 1)
 	f.start(0)
 	for i, doc := range []string{document, `{"models":3}`, `{"models":{"m":{}},"of_a_newer_version":1}`} {
-		f.nodes[0].absorb(context.Background(), accepted.Delta{Since: int64(i), Through: int64(i) + 1, Records: []accepted.Record{
+		f.nodes[0].apply(context.Background(), accepted.Delta{Since: int64(i), Through: int64(i) + 1, Records: []accepted.Record{
 			{Team: "a", Revision: int64(i) + 1, Document: []byte(doc)},
 		}}, sourceStore)
 		_, ok := f.nodes[0].Snapshot().Model("a", "m")
@@ -126,9 +127,9 @@
 	is.True(testutil.ToFloat64(f.nodes[1].metrics.pulls.WithLabelValues("ok")) > 2)
 }
 
-// TestNothingServedReverts drives nodes by generated faults and requires that
-// no VM ever serves an older document of a team than it did before, also not
-// after it restarted while the store was out.
+// TestNothingServedReverts applies generated faults to nodes and checks that no VM
+// ever serves an older document of a team than before, even after its node restarts
+// while the store is unavailable.
 func TestNothingServedReverts(t *testing.T) {
 	const nodes = 4
 	rapid.Check(t, func(rt *rapid.T) {
@@ -137,7 +138,7 @@
 		for i := range nodes {
 			f.start(i)
 		}
-		served := make([]map[string]int64, nodes) // by VM, over its restarts
+		served := make([]map[string]int64, nodes) // by VM, kept across restarts
 		for i := range served {
 			served[i] = make(map[string]int64)
 		}
@@ -148,7 +149,7 @@
 			}
 		}
 		answer := func(t *rapid.T) {
-			f.store.stale = rapid.IntRange(0, max(0, len(f.store.pages)-1)).Draw(t, "page")
+			f.store.pageIndex = rapid.IntRange(0, max(0, len(f.store.pages)-1)).Draw(t, "page")
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"accept": func(t *rapid.T) {
@@ -169,7 +170,7 @@
 				_ = f.nodes[node(t)].onBatch(ctx, store.Batch{Events: events[from:]})
 			},
 			"pull": pull,
-			"hint": func(t *rapid.T) { f.drain(node(t)) },
+			"hint": func(t *rapid.T) { f.drainHints(node(t)) },
 			"lose": func(t *rapid.T) {
 				lost := nodeID(node(t))
 				f.net.lost = func(to string) bool { return to == lost }
@@ -189,9 +190,9 @@
 			},
 		})
 		f.store.setOutage(false)
-		f.store.stale = len(f.store.pages) - 1
+		f.store.pageIndex = len(f.store.pages) - 1
 		for i := range nodes {
-			f.start(i) // as a node that found nobody does again
+			f.start(i) // repeats the bootstrap, as a node does that got no answer
 			_, _ = f.nodes[i].catchUp(ctx)
 			_ = f.nodes[i].pull(ctx, nodeID((i+1)%nodes), callTimeout)
 		}
@@ -204,11 +205,13 @@
 	})
 }
 
-// numbered returns a document that tells its own revision.
+// numbered returns a document whose max_in_flight is its revision.
 func numbered(revision int) string {
 	return fmt.Sprintf(`{"models":{"m":{"max_in_flight":%d}}}`, revision)
 }
 
+// checkServed checks that neither the revision in force nor any team's document is
+// older than the last one; last has the revision in force under "".
 func checkServed(t *rapid.T, n *Follower, last map[string]int64) {
 	snap := n.Snapshot()
 	if snap == nil {
--- a/settings/follower/gate.go
+++ b/settings/follower/gate.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// holdTimeout is how long a revision read from the store waits for another
-// node to hold it before it is served all the same.
+// holdTimeout is how long a held revision waits for another node's confirmation
+// before it is served without one.
 const holdTimeout = time.Second
 
-// gate decides when a revision may be served: when another node holds it, so
-// that a node that restarts while the store is out finds it again. The zero
+// gate decides when a revision may be served: once another node holds it, so that
+// this node finds it again if it restarts while the store is unavailable. The zero
 // value has served nothing.
 type gate struct {
-	served    int64
-	confirmed int64
-	since     time.Time // when the oldest revision not yet served was held
+	served    int64     // highest revision served
+	confirmed int64     // highest held revision that another node confirmed
+	heldSince time.Time // when the oldest held revision not yet served was received
 }
 
-// confirm notes that another node holds a revision that this one holds too.
-// What the other held before this one did doesn't count: it may have lost it
-// in a restart since.
+// confirm records that another node holds a revision that this node holds too. A
+// revision that the other node reported before this node held it doesn't count,
+// because the other node may have lost it in a restart since.
 func (g *gate) confirm(revision int64) { g.confirmed = max(g.confirmed, revision) }
 
-// hold notes that this node holds a revision.
-func (g *gate) hold(revision int64, now time.Time) {
-	if revision > g.served && g.since.IsZero() {
-		g.since = now
+// recordHeld records that this node holds a revision.
+func (g *gate) recordHeld(revision int64, now time.Time) {
+	if revision > g.served && g.heldSince.IsZero() {
+		g.heldSince = now
 	}
 }
 
-// verdict says what to do with a revision that this node holds.
-type verdict int
+// decision is the decision on a held revision.
+type decision int
 
 const (
-	wait verdict = iota
+	wait decision = iota
 	serve
 	serveUnconfirmed
 )
 
-// decide returns whether to serve the revision. A node alone in its view
-// waits for nobody.
-func (g *gate) decide(revision int64, alone bool, now time.Time) verdict {
+// decide returns whether to serve the revision. A node that is alone in its view
+// serves at once.
+func (g *gate) decide(revision int64, alone bool, now time.Time) decision {
 	switch {
 	case alone || g.confirmed >= revision:
 		return serve
-	case now.Sub(g.since) >= holdTimeout:
+	case now.Sub(g.heldSince) >= holdTimeout:
 		return serveUnconfirmed
 	}
 	return wait
 }
 
-// serving notes that the revision is served.
-func (g *gate) serving(revision int64) {
+// recordServed records that the revision is served.
+func (g *gate) recordServed(revision int64) {
 	g.served = max(g.served, revision)
-	g.since = time.Time{}
+	g.heldSince = time.Time{}
 }
--- a/settings/follower/relay.go
+++ b/settings/follower/relay.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// DutyInterval is the time between looks at the membership view.
+	// DutyInterval is the time between checks whether this node is a relay.
 	DutyInterval = 500 * time.Millisecond
 	// HeadCheckInterval is the time between a relay's reads of the head, in
-	// case its watch is late or has lost a change without an error.
+	// case its watch is delayed or has lost a change without an error.
 	HeadCheckInterval = 5 * time.Second
-	// retryDelay is the wait after the store failed.
+	// retryDelay is the wait after a store error.
 	retryDelay = time.Second
 )
 
-// errWatchClosed means that a watch ended without saying why.
+// errWatchClosed is returned when a watch's channel is closed without an error.
 var errWatchClosed = errors.New("settings: watch closed; watching again")
 
+// isRelay returns whether this node is a relay of its failure domain.
 func (f *Follower) isRelay() bool {
 	v := f.members.View()
 	return duty.Position(duty.Relays(v, f.self().FailureDomain), v.Self) >= 0
@@ -39,12 +40,13 @@
 		}
 		if err := f.watch(ctx); err != nil && ctx.Err() == nil {
 			f.metrics.watchRestarts.WithLabelValues(watchEnd(err)).Inc()
-			f.log.Warn("settings are not watched for now; peers are asked meanwhile", "err", err)
+			f.log.Warn("settings watch ended; restarting it and pulling from peers meanwhile", "err", err)
 			pause.Sleep(ctx, retryDelay)
 		}
 	}
 }
 
+// watchEnd returns the reason label of watch_restarts_total.
 func watchEnd(err error) string {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
@@ -57,7 +59,8 @@
 	return "other"
 }
 
-// watch catches up, then follows the store until the watch or the duty ends.
+// watch catches up, then applies the store's changes until the watch ends or this
+// node is no relay any more.
 func (f *Follower) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -69,10 +72,10 @@
 	if err != nil {
 		return err
 	}
-	relay := time.NewTicker(DutyInterval)
-	defer relay.Stop()
-	check := time.NewTicker(HeadCheckInterval)
-	defer check.Stop()
+	dutyCheck := time.NewTicker(DutyInterval)
+	defer dutyCheck.Stop()
+	headCheck := time.NewTicker(HeadCheckInterval)
+	defer headCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -84,11 +87,11 @@
 			if err := f.onBatch(ctx, b); err != nil {
 				return err
 			}
-		case <-relay.C:
+		case <-dutyCheck.C:
 			if !f.isRelay() {
 				return nil
 			}
-		case <-check.C:
+		case <-headCheck.C:
 			if _, err := f.catchUp(ctx); err != nil {
 				return err
 			}
@@ -96,6 +99,8 @@
 	}
 }
 
+// onBatch applies a batch of the watch, and catches up if changes before it are
+// missing.
 func (f *Follower) onBatch(ctx context.Context, b store.Batch) error {
 	if b.Err != nil {
 		return b.Err
@@ -106,7 +111,7 @@
 	}
 	gap := false
 	for _, d := range deltas {
-		gap = f.absorb(ctx, d, sourceStore) || gap
+		gap = f.apply(ctx, d, sourceStore) || gap
 	}
 	if gap {
 		_, err = f.catchUp(ctx)
@@ -114,9 +119,9 @@
 	return err
 }
 
-// catchUp reads the head. If it is above what this node holds, the difference
-// comes from a peer, which costs the store nothing, or else all records from
-// the store. It returns the store's revision to watch from.
+// catchUp reads the head from the store. If it is above this node's head, it pulls
+// the difference from a peer, which puts no load on the store, or otherwise lists
+// all records in the store. It returns the store's revision to watch from.
 func (f *Follower) catchUp(ctx context.Context) (from int64, err error) {
 	kv, ok, err := f.store.Get(ctx, accepted.HeadKey)
 	if err != nil {
@@ -127,7 +132,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if head.Revision <= f.Head() || f.pullNear(ctx, head.Revision) {
+		if head.Revision <= f.Head() || f.pullFromPeer(ctx, head.Revision) {
 			return kv.ModRevision + 1, nil
 		}
 	}
@@ -139,14 +144,14 @@
 	if err != nil {
 		return 0, err
 	}
-	f.absorb(ctx, d, sourceStore)
+	f.apply(ctx, d, sourceStore)
 	return page.Revision + 1, nil
 }
 
-// pullNear pulls from the other relay, or another peer without one. It returns
-// whether this node holds the revision then.
-func (f *Follower) pullNear(ctx context.Context, revision int64) bool {
-	const relayFirst = 0
+// pullFromPeer pulls from the other relay of the failure domain, or from another
+// node if there is none. It returns whether this node then holds the revision.
+func (f *Follower) pullFromPeer(ctx context.Context, revision int64) bool {
+	const relayFirst = 0 // an even round prefers the relay
 	n, ok := duty.AntiEntropyPeer(f.members.View(), relayFirst, newRand())
 	if !ok || f.Head() == 0 {
 		return false
--- a/settings/follower/run_test.go
+++ b/settings/follower/run_test.go
@@ -12,21 +12,22 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// eventually waits for what must happen; it fails only if it never does.
+// eventually waits until ok returns true; it fails the test after a minute.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	const patience = time.Minute
-	deadline := time.Now().Add(patience)
+	const timeout = time.Minute
+	deadline := time.Now().Add(timeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestRunFollowsThroughOutage runs the background work of a
-// fleet: two failure domains of four nodes, of which two each watch the store.
+// TestRunFollowsThroughOutage runs the background goroutines of a fleet of two
+// failure domains with four nodes each, of which two watch the store. New revisions
+// must reach all nodes, also one that starts during an outage of the store.
 func TestRunFollowsThroughOutage(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +39,7 @@
 		n.spawn, n.wait = func(do func()) { go do() }, pause.Sleep
 		is.NoErr(n.Start(ctx))
 	}
-	everywhere := func(revision int64) func() bool {
+	servedByAll := func(revision int64) func() bool {
 		return func() bool {
 			for _, n := range f.nodes {
 				if s := n.Snapshot(); s == nil || s.Revision < revision {
@@ -52,28 +53,28 @@
 	for i := range f.nodes {
 		launch(i)
 	}
-	eventually(t, "first revision everywhere", everywhere(1))
+	eventually(t, "first revision everywhere", servedByAll(1))
 	f.accept(document, "b")
-	eventually(t, "second revision everywhere", everywhere(2))
+	eventually(t, "second revision everywhere", servedByAll(2))
 	f.store.setOutage(true)
 	launch(5)
-	eventually(t, "a node started in the outage serves", everywhere(2))
+	eventually(t, "a node started in the outage serves", servedByAll(2))
 	f.accept(document, "c")
 	f.store.setOutage(false)
-	eventually(t, "third revision everywhere", everywhere(3))
+	eventually(t, "third revision everywhere", servedByAll(3))
 }
 
-// TestNewFleetWaitsForTheFirstAcceptance requires that a node isn't ready
-// before operators' first settings are accepted.
+// TestNewFleetWaitsForTheFirstAcceptance checks that a node of a new fleet isn't
+// ready before the operators' first document is accepted.
 func TestNewFleetWaitsForTheFirstAcceptance(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, 1, 1)
 	n := f.nodes[0]
-	f.store.raw = []store.KV{{Key: settings.TeamKey("a"), Value: []byte(document), ModRevision: 1}}
+	f.store.operatorKVs = []store.KV{{Key: settings.TeamKey("a"), Value: []byte(document), ModRevision: 1}}
 	polls := 0
 	n.wait = func(_ context.Context, d time.Duration) {
-		if d != firstPoll {
-			return // of an announcement
+		if d != firstPollInterval {
+			return // the delay of an announcement
 		}
 		is.True(n.Snapshot() == nil)
 		if polls++; polls == 3 {
