--- a/settings/operator/operator.go
+++ b/settings/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads and writes a team's settings in the store on behalf
-// of an operator. Writes go only to the team's own subtree.
+// Package operator reads and writes a team's settings in the store on behalf of an
+// operator. It writes only the team's own keys.
 package operator
 
 import (
@@ -17,42 +17,46 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Typed failures. Test with errors.Is.
+// Errors returned by the package; compare them with errors.Is.
 var (
-	// ErrConflict means that another change came first.
+	// ErrConflict means that another change was written first.
 	ErrConflict = errors.New("settings: another change came first")
-	// ErrFaults means that the document has faults; the message lists them.
+	// ErrFaults means that the document has faults; the error's text lists
+	// them.
 	ErrFaults = errors.New("settings: the document has faults")
 	// ErrNoTeam means that the team has no settings in force.
 	ErrNoTeam = errors.New("settings: the team has no settings in force")
 )
 
-// Client acts for one operator.
+// Client reads and writes settings for one operator. Author is recorded with each
+// write.
 type Client struct {
 	Store  store.Store
 	Author string
 	Now    func() time.Time
 }
 
-// Team is what the store holds of a team.
+// Team holds the settings and the status of a team as read from the store.
 type Team struct {
-	// Record is in force; its Revision is 0 if none ever was.
+	// Record is the accepted document; its Revision is 0 if there was none
+	// yet.
 	Record accepted.Record
 	// Status is the last decision; its Change is 0 before the first.
 	Status accepted.Status
 	// Change is the store's revision of the operators' document, 0 if there
-	// is none, and Note says who wrote it, if known.
+	// is none. Note records who wrote it; it is zero if unknown.
 	Change int64
 	Note   settings.Change
 }
 
-// Pending says whether the operators' document is not decided yet.
+// Pending returns whether the operators' document is neither accepted nor refused
+// yet.
 func (t Team) Pending() bool {
 	decided := t.Change == t.Record.Change || t.Change == t.Status.Change
 	return t.Change != 0 && !decided
 }
 
-// Read returns what the store holds of a team.
+// Read reads a team's settings and status from the store.
 func (c *Client) Read(ctx context.Context, team string) (Team, error) {
 	if err := settings.CheckTeamName(team); err != nil {
 		return Team{}, err
@@ -148,7 +152,9 @@
 	return errors.Mark(err, ErrFaults)
 }
 
-func conflict(t Team) error {
+// conflictError returns ErrConflict with the author, time and number of the change that
+// was written first.
+func conflictError(t Team) error {
 	who, when, what := t.Note.Author, t.Note.At, fmt.Sprintf("change %d, not yet decided", t.Change)
 	if !t.Pending() {
 		who, when, what = t.Record.Author, t.Record.At, fmt.Sprintf("revision %d", t.Record.Revision)
--- a/settings/operator/operator_test.go
+++ b/settings/operator/operator_test.go
@@ -21,7 +21,9 @@
 	valid = []byte(`{"models":{"m":{}}}`)
 )
 
-// flakyStore fails commits as scripted, one entry a commit.
+// flakyStore fails commits by a script with one entry for each commit: down is
+// unavailable, dropped drops the commit, lost commits and drops the response.
+// before runs once before the first commit.
 type flakyStore struct {
 	store.Store
 	script []string
@@ -54,11 +56,11 @@
 	return &Client{Store: s, Author: author, Now: func() time.Time { return time.Unix(1e9, 0) }}
 }
 
-func TestSetSettlesLostAnswers(t *testing.T) {
+func TestSetResolvesLostResponses(t *testing.T) {
 	cases := []struct {
 		name   string
 		script []string
-		err    error // nil for written once
+		err    error // nil if written exactly once
 	}{
 		{"ok", nil, nil},
 		{"lost after the write", []string{"lost"}, nil},
@@ -67,7 +69,7 @@
 		{"lost, then down", []string{"lost", "down"}, nil},
 		{"down", []string{"down"}, store.ErrUnavailable},
 		{"dropped, then down", []string{"dropped", "down", "down", "down", "down"}, store.ErrUncertain},
-		{"never heard", []string{"dropped", "dropped", "dropped", "dropped", "dropped"}, store.ErrUncertain},
+		{"every commit dropped", []string{"dropped", "dropped", "dropped", "dropped", "dropped"}, store.ErrUncertain},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,18 +86,18 @@
 	}
 }
 
-func TestRacingOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	cases := []struct {
 		name     string
 		revision int64
-		before   bool // bea writes between ana's read and write
+		before   bool // bea writes between ana's read and commit
 		pending  bool // bea's change is undecided when ana begins
 		conflict bool
 	}{
 		{"nobody else", 0, false, false, false},
 		{"race within the write", AnyRevision, true, false, true},
 		{"undecided change", 0, false, true, true},
-		{"undecided change, whatever is there", AnyRevision, false, true, false},
+		{"undecided change, any revision", AnyRevision, false, true, false},
 		{"wrong revision", 7, false, false, true},
 	}
 	for _, c := range cases {
@@ -112,14 +114,14 @@
 			_, err := client(s, "ana").Set(ctx, "a", valid, c.revision)
 			is.Equal(errors.Is(err, ErrConflict), c.conflict)
 			if c.before || c.pending && c.conflict {
-				is.True(strings.Contains(err.Error(), "bea at 2001-09-09")) // names the other
+				is.True(strings.Contains(err.Error(), "bea at 2001-09-09")) // names the other author and the time
 				is.True(errors.FlattenHints(err) != "")
 			}
 		})
 	}
 }
 
-func TestWritesOnlyItsSubtree(t *testing.T) {
+func TestWritesOnlyTheTeamsKeys(t *testing.T) {
 	for _, team := range []string{"", "a/b", "../b", "b/settings/x", "A"} {
 		s := memory.New(time.Now)
 		_, err := client(s, "ana").Set(ctx, team, valid, AnyRevision)
@@ -133,14 +135,14 @@
 
 func TestAwait(t *testing.T) {
 	cases := []struct {
-		name   string
-		status accepted.Status
-		again  bool
-		err    error
+		name     string
+		status   accepted.Status
+		replaced bool
+		err      error
 	}{
 		{"accepted", accepted.Status{Change: 1, Revision: 1}, false, nil},
 		{"refused", accepted.Status{Change: 1, Faults: []settings.Fault{{Problem: "p", Remedy: "r"}}}, false, ErrFaults},
-		{"overtaken", accepted.Status{}, true, ErrConflict},
+		{"replaced by a later change", accepted.Status{}, true, ErrConflict},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,7 +150,7 @@
 			s := memory.New(time.Now)
 			change, err := client(s, "ana").Set(ctx, "a", valid, AnyRevision)
 			is.NoErr(err)
-			if c.again {
+			if c.replaced {
 				_, err = client(s, "bea").Set(ctx, "a", valid, AnyRevision)
 				is.NoErr(err)
 			}
@@ -161,7 +163,7 @@
 	}
 }
 
-func TestFaultyDocumentIsNotWritten(t *testing.T) {
+func TestInvalidDocumentIsNotWritten(t *testing.T) {
 	is := is.New(t)
 	s := memory.New(time.Now)
 	_, err := client(s, "ana").Set(ctx, "a", []byte(`{"modles":{}}`), AnyRevision)
--- a/settings/operator/write.go
+++ b/settings/operator/write.go
@@ -13,19 +13,21 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// AnyRevision makes a change whatever revision is in force.
+// AnyRevision writes a change regardless of the revision in force and of pending
+// changes.
 const AnyRevision int64 = -1
 
 const (
-	// maxCommits bounds the tries to settle a lost answer.
+	// maxCommits is the largest number of commits of one write whose response
+	// is lost.
 	maxCommits = 5
-	// awaitInterval is the time between looks at a decision.
+	// awaitInterval is the interval of polling for the decision.
 	awaitInterval = 250 * time.Millisecond
 )
 
-// Set checks a document and writes it into the team's subtree if the team's
-// revision in force is still the one given and no other change is undecided.
-// It returns the change's number, the store's revision of the document.
+// Set checks a document and writes it to the team's key if the team's revision in
+// force is still the given one and no other change is undecided. It returns the
+// number of the change, which is the store's revision of the document.
 func (c *Client) Set(ctx context.Context, team string, raw []byte, revision int64) (change int64, err error) {
 	if err := Check(raw); err != nil {
 		return 0, err
@@ -38,13 +40,15 @@
 	return c.write(ctx, team, revision, store.Op{Key: settings.TeamKey(team), Delete: true})
 }
 
+// write commits the operation together with the author, and returns ErrConflict if
+// another change was written first.
 func (c *Client) write(ctx context.Context, team string, revision int64, op store.Op) (int64, error) {
 	t, err := c.Read(ctx, team)
 	if err != nil {
 		return 0, err
 	}
 	if revision != AnyRevision && (t.Record.Revision != revision || t.Pending()) {
-		return 0, conflict(t)
+		return 0, conflictError(t)
 	}
 	note := settings.Change{Author: c.Author, At: c.Now(), WriteID: uuid.NewString()}
 	value, err := json.Marshal(note)
@@ -61,13 +65,14 @@
 	if t, err = c.Read(ctx, team); err != nil {
 		return 0, err
 	}
-	return 0, conflict(t)
+	return 0, conflictError(t)
 }
 
-// commit settles a lost answer: the compare lets the same transaction take
-// effect once, and its write ID tells whether it did.
+// commit commits a transaction and retries if the response is lost: the compare
+// lets the transaction take effect only once, and its write ID in the store shows
+// whether it did.
 func (c *Client) commit(ctx context.Context, team, writeID string, txn store.Txn) (change int64, ok bool, err error) {
-	lost := false
+	lost := false // the response of an attempt was lost
 	for range maxCommits {
 		change, ok, err = c.Store.Commit(ctx, txn)
 		if err == nil && (ok || !lost) {
@@ -90,9 +95,9 @@
 	return 0, false, errors.WithHint(err, "the change may have been written: run 'knapweedgw settings status TEAM' once the store answers, before you repeat it")
 }
 
-// Await waits until a change is decided and returns the decision. It returns
-// ErrFaults if the change was refused, and ErrConflict if a later change took
-// its place undecided.
+// Await polls until a change is decided and returns the decision. It returns
+// ErrFaults if the change was refused, and ErrConflict if a later change replaced
+// it before it was decided.
 func (c *Client) Await(ctx context.Context, team string, change int64) (accepted.Status, error) {
 	for {
 		t, err := c.Read(ctx, team)
@@ -103,7 +108,7 @@
 		case t.Status.Change == change:
 			return t.Status, FaultsError(t.Status.Faults)
 		case t.Change > change, t.Status.Change > change:
-			return t.Status, conflict(t)
+			return t.Status, conflictError(t)
 		}
 		select {
 		case <-ctx.Done():
