--- a/cmd/knapweedgw/main.go
+++ b/cmd/knapweedgw/main.go
@@ -1,4 +1,4 @@
-// Command knapweedgw is a node of the router fleet and the operators' tool.
+// Command knapweedgw runs a node of the router fleet and provides the operators' commands.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is set at link time.
+// version is set with -ldflags at build time.
 var version = "dev"
 
 func main() {
--- a/cmd/knapweedgw/orders.go
+++ b/cmd/knapweedgw/orders.go
@@ -47,7 +47,8 @@
 	return cmd
 }
 
-// poolStatus is a pool's record with the node that holds its duty now.
+// poolStatus is the record of an engine pool with the lease of the node that currently issues
+// its orders.
 type poolStatus struct {
 	name   string // region/pool
 	holder lease.Record
--- a/cmd/knapweedgw/orders_test.go
+++ b/cmd/knapweedgw/orders_test.go
@@ -37,5 +37,5 @@
 	is.NoErr(err)
 	is.True(strings.HasPrefix(out, "POOL"))
 	_, err = execute("orders", "status")
-	is.True(err != nil) // no store named
+	is.True(err != nil) // --store is required
 }
--- a/cmd/knapweedgw/route.go
+++ b/cmd/knapweedgw/route.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	// settingsInterval is the time between two looks at the settings file,
-	// which may change without a signal: below the time that the platform's
-	// list of other machines lags.
+	// settingsInterval is the time between two reads of the settings file, which
+	// may change without a SIGHUP. It is shorter than the lag of the platform's list
+	// of other machines.
 	settingsInterval = 2 * time.Second
-	// heapShare is the part of the process's memory that the Go heap may use;
-	// the rest is for stacks and unread bytes of sockets.
+	// heapShare is the fraction of the process's memory limit that the Go heap may
+	// use; the rest is for stacks and unread data in socket buffers.
 	heapShare = 0.7
-	// gcPercent trades processor time for memory at its peak: of 16.5 MB a node,
-	// 3.6 go for 3.5 ms more of the processor a second. Below 30 the collector
-	// runs more often and the peak stays where it is.
+	// gcPercent reduces peak memory at the cost of CPU time: it saves 3.6 of 16.5 MB
+	// per node for 3.5 ms more CPU time per second. Values below 30 make the garbage
+	// collector run more often without reducing the peak.
 	gcPercent = 30
 )
 
@@ -50,7 +50,7 @@
 	cmd.Flags().BoolVar(&check, "check", false, "validate the settings and exit")
 	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port of /metrics on the node's own address; 0 for none")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		// First of all: a hangup ends a process that doesn't ask for it.
+		// Registered first, since SIGHUP terminates a process without a handler.
 		signals := notifySignals()
 		if err := config.ApplyEnv(cmd.Flags()); err != nil {
 			return err
@@ -68,7 +68,7 @@
 			return nil
 		}
 		if metricsPort > 0 {
-			host, _, _ := net.SplitHostPort(cfg.Listen) // validated above
+			host, _, _ := net.SplitHostPort(cfg.Listen) // cfg.Listen was validated by ReadSettings
 			cfg.MetricsListen = net.JoinHostPort(host, strconv.Itoa(metricsPort))
 		}
 		return route(cmd.Context(), path, cfg, signals)
@@ -76,8 +76,9 @@
 	return cmd
 }
 
-// nodeSignals are the signals of a running node. Each kind has a channel of its own:
-// a full one drops what comes, and hangups must not cost a stop.
+// nodeSignals are the channels of a running node's signals. Stop and reload signals have
+// separate channels: signal.Notify drops signals for a full channel, and pending SIGHUPs must
+// not cause a SIGTERM to be dropped.
 type nodeSignals struct{ stop, reload chan os.Signal }
 
 func notifySignals() nodeSignals {
@@ -112,7 +113,8 @@
 	return runUntilTerm(k, adapter, logger, signals)
 }
 
-// runUntilTerm reloads the settings until a signal ends the node.
+// runUntilTerm reloads the settings on SIGHUP and periodically. On SIGTERM or SIGINT it stops
+// the node and returns the error of the stop.
 func runUntilTerm(k *kernel.Kernel, a *platform.Adapter, l *log.Logger, signals nodeSignals) error {
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
@@ -134,7 +136,7 @@
 func reload(a *platform.Adapter, l *log.Logger, cause string) {
 	cfg, err := a.Reload()
 	if err != nil {
-		l.Error("settings not reloaded; the last ones stay in force", "cause", cause, "err", err)
+		l.Error("failed to reload the settings; the previous settings stay in effect", "cause", cause, "err", err)
 		return
 	}
 	if cause == "signal" {
--- a/cmd/knapweedgw/route_test.go
+++ b/cmd/knapweedgw/route_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Hangups that come while the settings are read again don't cost a stop.
-func TestHangupsLeaveTheStop(t *testing.T) {
+// SIGHUPs that arrive during a reload must not cause a following SIGTERM to be dropped.
+func TestRepeatedSIGHUPDoesNotDropSIGTERM(t *testing.T) {
 	is := is.New(t)
 	signals := notifySignals()
 	defer signal.Stop(signals.stop)
@@ -22,8 +22,8 @@
 	select {
 	case s := <-signals.stop:
 		is.Equal(s, syscall.SIGTERM)
-	case <-time.After(20 * time.Second): // no verdict depends on it
-		t.Fatal("the stop is lost")
+	case <-time.After(20 * time.Second): // only bounds the time of a failing test
+		t.Fatal("SIGTERM was dropped")
 	}
 	is.Equal(<-signals.reload, syscall.SIGHUP)
 }
--- a/cmd/knapweedgw/serve.go
+++ b/cmd/knapweedgw/serve.go
@@ -61,13 +61,14 @@
 	return stop(k, cfg, signals)
 }
 
-// errCutOff means that the operator ended a stop early.
+// errCutOff means that a second signal or the drain deadline ended the stop while requests were
+// in progress.
 var errCutOff = errors.WithHint(
 	errors.New("stopped before every request in progress had ended"),
 	"send one signal only and raise --drain-deadline, or set it to 0, to wait for all of them")
 
-// stop drains and stops the node; a second signal or the drain deadline ends
-// it early.
+// stop drains and stops the node. After a second signal or the drain deadline it stops
+// waiting for requests in progress and returns errCutOff.
 func stop(k *kernel.Kernel, cfg *config.Node, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/knapweedgw/settings.go
+++ b/cmd/knapweedgw/settings.go
@@ -12,7 +12,7 @@
 	"github.com/knapweedgw/knapweedgw/store/etcd"
 )
 
-// connector returns the operator's client for a command.
+// connector returns a settings client configured by the command's flags.
 type connector func(*cobra.Command) (*operator.Client, error)
 
 func settingsCommand() *cobra.Command {
--- a/cmd/knapweedgw/settings_read.go
+++ b/cmd/knapweedgw/settings_read.go
@@ -31,11 +31,11 @@
 		if err != nil {
 			return err
 		}
-		r, err := record(cmd, c, args[0], *revision)
+		r, err := readRecord(cmd, c, args[0], *revision)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.ErrOrStderr(), "revision %d, accepted %s, by %s\n", r.Revision, when(r.At), who(r.Author))
+		fmt.Fprintf(cmd.ErrOrStderr(), "revision %d, accepted %s, by %s\n", r.Revision, formatTime(r.At), formatAuthor(r.Author))
 		var out bytes.Buffer
 		if err := json.Indent(&out, r.Document, "", "  "); err != nil {
 			return errors.Wrap(err, "document")
@@ -46,20 +46,21 @@
 	return cmd
 }
 
-// record returns the team's record in force or an earlier one.
-func record(cmd *cobra.Command, c *operator.Client, team string, revision int64) (accepted.Record, error) {
+// readRecord returns the team's accepted record: that of the given revision, or the current one if
+// revision is 0.
+func readRecord(cmd *cobra.Command, c *operator.Client, team string, revision int64) (accepted.Record, error) {
 	if revision != 0 {
-		return earlier(cmd, c, team, revision)
+		return readEarlierRecord(cmd, c, team, revision)
 	}
 	t, err := c.Read(cmd.Context(), team)
 	if err != nil {
 		return accepted.Record{}, err
 	}
 	if t.Pending() {
-		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s is not decided yet\n", t.Change, who(t.Note.Author))
+		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s is not decided yet\n", t.Change, formatAuthor(t.Note.Author))
 	}
 	if t.Change != 0 && t.Status.Change == t.Change && t.Status.Refused() {
-		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s was refused; see settings status\n", t.Change, who(t.Status.Author))
+		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s was refused; see settings status\n", t.Change, formatAuthor(t.Status.Author))
 	}
 	if t.Record.Revision == 0 || t.Record.Deleted {
 		return accepted.Record{}, errors.WithHint(errors.Wrap(operator.ErrNoTeam, team), "write them with 'knapweedgw settings set'")
@@ -67,7 +68,7 @@
 	return t.Record, nil
 }
 
-func earlier(cmd *cobra.Command, c *operator.Client, team string, revision int64) (accepted.Record, error) {
+func readEarlierRecord(cmd *cobra.Command, c *operator.Client, team string, revision int64) (accepted.Record, error) {
 	records, err := c.History(cmd.Context(), team)
 	if err != nil {
 		return accepted.Record{}, err
@@ -103,7 +104,7 @@
 				if r.Deleted {
 					size = "deleted"
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", r.Revision, when(r.At), who(r.Author), size)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", r.Revision, formatTime(r.At), formatAuthor(r.Author), size)
 			}
 			return w.Flush()
 		},
@@ -140,8 +141,8 @@
 		if err != nil {
 			return err
 		}
-		state, by, at := decision(t)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", team, inForce(t.Record), state, who(by), when(at))
+		state, by, at := changeState(t)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", team, formatRevision(t.Record), state, formatAuthor(by), formatTime(at))
 		if t.Status.Change != t.Change {
 			continue
 		}
@@ -158,14 +159,14 @@
 	return nil
 }
 
-func inForce(r accepted.Record) string {
+func formatRevision(r accepted.Record) string {
 	if r.Revision == 0 || r.Deleted {
 		return "none"
 	}
 	return fmt.Sprintf("revision %d", r.Revision)
 }
 
-func decision(t operator.Team) (state, by string, at time.Time) {
+func changeState(t operator.Team) (state, by string, at time.Time) {
 	switch {
 	case t.Pending():
 		return "undecided", t.Note.Author, t.Note.At
@@ -182,14 +183,14 @@
 	return tabwriter.NewWriter(w, minWidth, tabWidth, padding, ' ', 0)
 }
 
-func who(author string) string {
+func formatAuthor(author string) string {
 	if author == "" {
 		return "(unnamed)"
 	}
 	return author
 }
 
-func when(at time.Time) string {
+func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "-"
 	}
--- a/cmd/knapweedgw/settings_test.go
+++ b/cmd/knapweedgw/settings_test.go
@@ -19,7 +19,7 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// storeURL serves an empty store.
+// storeURL starts a server of an empty store and returns its URL.
 func storeURL(t *testing.T) string {
 	ws := new(restful.WebService)
 	etcd.NewServer(memory.New(time.Now)).Routes(ws)
@@ -42,23 +42,23 @@
 
 func TestSettingsCommands(t *testing.T) {
 	dir := t.TempDir()
-	good, faulty := filepath.Join(dir, "good.json"), filepath.Join(dir, "faulty.json")
+	valid, invalid := filepath.Join(dir, "good.json"), filepath.Join(dir, "faulty.json")
 	is := is.New(t)
-	is.NoErr(os.WriteFile(good, []byte(`{"models":{"m":{}}}`), 0o600))
-	is.NoErr(os.WriteFile(faulty, []byte(`{"modles":{}}`), 0o600))
+	is.NoErr(os.WriteFile(valid, []byte(`{"models":{"m":{}}}`), 0o600))
+	is.NoErr(os.WriteFile(invalid, []byte(`{"modles":{}}`), 0o600))
 	store := "--store=" + storeURL(t)
 	steps := []struct {
 		args []string
 		out  string
 		err  error
 	}{
-		{[]string{"check", good}, "valid", nil},
-		{[]string{"check", faulty}, "", operator.ErrFaults},
+		{[]string{"check", valid}, "valid", nil},
+		{[]string{"check", invalid}, "", operator.ErrFaults},
 		{[]string{"get", "a", store}, "", operator.ErrNoTeam},
-		{[]string{"set", "a", faulty, store}, "", operator.ErrFaults},
-		{[]string{"set", "a", good, store, "--author=ana"}, "written as change 1", nil},
-		{[]string{"set", "a", good, store, "--revision=4"}, "", operator.ErrConflict},
-		{[]string{"set", "a", good, store, "--revision=0"}, "", operator.ErrConflict},
+		{[]string{"set", "a", invalid, store}, "", operator.ErrFaults},
+		{[]string{"set", "a", valid, store, "--author=ana"}, "written as change 1", nil},
+		{[]string{"set", "a", valid, store, "--revision=4"}, "", operator.ErrConflict},
+		{[]string{"set", "a", valid, store, "--revision=0"}, "", operator.ErrConflict},
 		{[]string{"status", store}, "undecided", nil},
 		{[]string{"status", store}, "ana", nil},
 		{[]string{"history", "a", store}, "REVISION", nil},
@@ -66,12 +66,12 @@
 	}
 	for _, s := range steps {
 		out, err := execute(append([]string{"settings"}, s.args...)...)
-		is.True(errors.Is(err, s.err))        // the kind of error
+		is.True(errors.Is(err, s.err))        // the returned error
 		is.True(strings.Contains(out, s.out)) // the output
 	}
 }
 
-func TestStatusShowsShares(t *testing.T) {
+func TestStatusShowsFleetShares(t *testing.T) {
 	is := is.New(t)
 	node := func(revision string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -80,12 +80,12 @@
 		t.Cleanup(srv.Close)
 		return strings.TrimPrefix(srv.URL, "http://")
 	}
-	old, gone := node("7"), "127.0.0.1:1"
-	out, err := execute("status", "--nodes", strings.Join([]string{node("9"), node("9"), old, gone}, ","))
+	outdated, unreachable := node("7"), "127.0.0.1:1"
+	out, err := execute("status", "--nodes", strings.Join([]string{node("9"), node("9"), outdated, unreachable}, ","))
 	is.NoErr(err)
 	lines := strings.Split(out, "\n")
 	is.Equal(strings.Fields(lines[1]), []string{"9", "2", "50.0%"})
-	is.Equal(strings.Fields(lines[2]), []string{"7", "1", "25.0%", old})
+	is.Equal(strings.Fields(lines[2]), []string{"7", "1", "25.0%", outdated})
 	is.Equal(strings.Fields(lines[3]), []string{"unknown", "1", "25.0%"})
-	is.True(strings.HasPrefix(lines[4], gone+" doesn't answer"))
+	is.True(strings.HasPrefix(lines[4], unreachable+" doesn't answer"))
 }
--- a/cmd/knapweedgw/settings_write.go
+++ b/cmd/knapweedgw/settings_write.go
@@ -65,12 +65,12 @@
 		if *wait <= 0 {
 			return nil
 		}
-		return await(cmd, c, args[0], change, *wait)
+		return awaitDecision(cmd, c, args[0], change, *wait)
 	}
 	return cmd
 }
 
-func await(cmd *cobra.Command, c *operator.Client, team string, change int64, wait time.Duration) error {
+func awaitDecision(cmd *cobra.Command, c *operator.Client, team string, change int64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), wait)
 	defer cancel()
 	st, err := c.Await(ctx, team, change)
--- a/cmd/knapweedgw/status.go
+++ b/cmd/knapweedgw/status.go
@@ -26,7 +26,7 @@
 	revisionMetric  = "knapweedgw_settings_revision"
 )
 
-// nodeStatus is what a node answered.
+// nodeStatus is the settings revision reported by a node, or the error of the query.
 type nodeStatus struct {
 	addr     string
 	revision int64
@@ -89,7 +89,7 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // each node's error stands in its status
+	_ = g.Wait() // never fails: the errors are in the nodes' statuses
 	return out
 }
 
@@ -117,10 +117,10 @@
 
 func printFleet(w io.Writer, nodes []nodeStatus) error {
 	byRevision := make(map[int64][]string)
-	var silent []nodeStatus
+	var unreachable []nodeStatus
 	for _, n := range nodes {
 		if n.err != nil {
-			silent = append(silent, n)
+			unreachable = append(unreachable, n)
 			continue
 		}
 		byRevision[n.revision] = append(byRevision[n.revision], n.addr)
@@ -135,19 +135,19 @@
 		}
 		fmt.Fprintf(t, "%d\t%d\t%.1f%%\t%s\n", r, len(byRevision[r]), percent(len(byRevision[r]), len(nodes)), behind)
 	}
-	if len(silent) > 0 {
-		fmt.Fprintf(t, "unknown\t%d\t%.1f%%\t\n", len(silent), percent(len(silent), len(nodes)))
+	if len(unreachable) > 0 {
+		fmt.Fprintf(t, "unknown\t%d\t%.1f%%\t\n", len(unreachable), percent(len(unreachable), len(nodes)))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, n := range silent {
+	for _, n := range unreachable {
 		fmt.Fprintf(w, "%s doesn't answer: %v\n", n.addr, n.err)
 	}
 	return nil
 }
 
-func percent(part, whole int) float64 {
+func percent(count, total int) float64 {
 	const hundred = 100
-	return hundred * float64(part) / float64(whole)
+	return hundred * float64(count) / float64(total)
 }
