--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds a node's settings, read from flags and environment
-// variables and validated as a whole.
+// Package config defines and validates a node's configuration. Node is read from
+// flags and environment variables, Router from the settings file of a platform.
 package config
 
 import (
@@ -13,11 +13,12 @@
 	"github.com/spf13/pflag"
 )
 
-// EnvPrefix starts the environment variable of each flag: --peer-listen is
-// KNAPWEEDGW_PEER_LISTEN.
+// EnvPrefix is the prefix of the environment variables that set flags: --peer-listen
+// is set by KNAPWEEDGW_PEER_LISTEN.
 const EnvPrefix = "KNAPWEEDGW_"
 
-// Node is the configuration of one node.
+// Node is the configuration of a node that is run with the serve command; see Bind for the
+// meaning and unit of each field.
 type Node struct {
 	NodeID          string
 	Region          string
@@ -44,26 +45,26 @@
 	IncarnationTime time.Time
 }
 
-// Defaults of the optional settings.
+// Defaults and minimums of the optional flags.
 const (
-	defaultVMListInterval = 500 * time.Millisecond
-	defaultMaxBodyBytes   = 4 << 20
-	defaultBodyTimeout    = 15 * time.Second
-	defaultMaxAttempts    = 3
-	defaultRetryShare     = 0.2
-	defaultResumeHold     = 10 * time.Second
-	defaultStreamHold     = 250 * time.Millisecond
-	defaultAdmissionWait  = 25 * time.Millisecond
-	defaultResync         = 5 * time.Second
-	defaultDutyTTL        = 15 * time.Second
-	minDutyTTL            = 3 * time.Second
-	defaultDrainGrace     = 2 * time.Second
-	defaultClaimRetention = 15 * time.Minute
-	minClaimRetention     = time.Minute
-	defaultClaimInterval  = 140 * time.Millisecond
+	defaultVMListInterval  = 500 * time.Millisecond
+	defaultMaxBodyBytes    = 4 << 20
+	defaultBodyTimeout     = 15 * time.Second
+	defaultMaxAttempts     = 3
+	defaultRetryShare      = 0.2
+	defaultResumeHold      = 10 * time.Second
+	defaultStreamHold      = 250 * time.Millisecond
+	defaultAdmissionWait   = 25 * time.Millisecond
+	defaultAdmissionResync = 5 * time.Second
+	defaultDutyTTL         = 15 * time.Second
+	minDutyTTL             = 3 * time.Second
+	defaultDrainGrace      = 2 * time.Second
+	defaultClaimRetention  = 15 * time.Minute
+	minClaimRetention      = time.Minute
+	defaultClaimInterval   = 140 * time.Millisecond
 )
 
-// Bind registers the node's flags.
+// Bind registers the node's flags in fs and returns the Node that they set.
 func Bind(fs *pflag.FlagSet) *Node {
 	c := &Node{IncarnationTime: time.Now()}
 	fs.StringVar(&c.NodeID, "node-id", "", "unique ID of this VM in the VM list (required)")
@@ -82,7 +83,7 @@
 	fs.DurationVar(&c.ResumeHold, "resume-hold", defaultResumeHold, "time an engine is asked to hold a cut stream for resumption; 0 for none")
 	fs.DurationVar(&c.StreamHold, "stream-hold", defaultStreamHold, "longest time empty opening events of a stream are held back, so that an overload behind them can be retried; 0 for none")
 	fs.DurationVar(&c.AdmissionWait, "admission-timeout", defaultAdmissionWait, "shortest wait for an owner's answer before the node decides by its own estimate; at most four times that")
-	fs.DurationVar(&c.AdmissionResync, "admission-resync", defaultResync, "interval of a node's full account of its places to each owner")
+	fs.DurationVar(&c.AdmissionResync, "admission-resync", defaultAdmissionResync, "interval of a node's full account of its places to each owner")
 	fs.DurationVar(&c.DrainGrace, "drain-grace", defaultDrainGrace, "time without a new request, after readiness failed, before the listener closes; at most ten times that")
 	fs.DurationVar(&c.DutyTTL, "duty-ttl", defaultDutyTTL, "time after which another node may take over the orders of a node that doesn't renew its lease; whole seconds")
 	fs.DurationVar(&c.DrainDeadline, "drain-deadline", 0, "longest wait for requests in progress when stopping; 0 waits for all")
@@ -92,7 +93,8 @@
 }
 
 // ApplyEnv sets each flag that was not given on the command line from its
-// environment variable.
+// environment variable, if there is one. It returns an error that names every
+// variable with an invalid value.
 func ApplyEnv(fs *pflag.FlagSet) error {
 	var errs error
 	fs.VisitAll(func(f *pflag.Flag) {
@@ -108,12 +110,12 @@
 	return errs
 }
 
-// Validate reports every fault at once, each with its remedy.
+// Validate returns all errors of the configuration joined, each with its remedy.
 func (c *Node) Validate() error {
-	var faults []error
-	check := func(ok bool, remedy string) {
+	var errs []error
+	check := func(ok bool, message string) {
 		if !ok {
-			faults = append(faults, errors.New(remedy))
+			errs = append(errs, errors.New(message))
 		}
 	}
 	check(c.NodeID != "", "--node-id is empty: set it to the VM's ID in the VM list")
@@ -141,7 +143,7 @@
 	check(c.ClaimRetention >= minClaimRetention, "--claim-retention is under 1m: use 15m")
 	check(c.ClaimInterval > 0, "--claim-interval is not positive: use 140ms")
 	check(c.DrainDeadline >= 0, "--drain-deadline is negative: use 0 for none")
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func isIPPort(s string) bool {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/pflag"
 )
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryInvalidFlag(t *testing.T) {
 	is := is.New(t)
 	c := Bind(pflag.NewFlagSet("node", pflag.ContinueOnError))
 	c.Listen = "localhost:80"
@@ -17,11 +17,11 @@
 	c.DutyTTL = 3500 * time.Millisecond
 	msg := c.Validate().Error()
 	for _, want := range []string{"--node-id", "--region", "--failure-domain", "--listen", "--store", "--vm-list", "--max-attempts", "--duty-ttl"} {
-		is.True(strings.Contains(msg, want)) // every fault is named
+		is.True(strings.Contains(msg, want)) // every invalid flag is named
 	}
 }
 
-func TestEnvironmentYieldsToFlags(t *testing.T) {
+func TestFlagsOverrideEnvironment(t *testing.T) {
 	is := is.New(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
 	c := Bind(fs)
@@ -33,7 +33,7 @@
 	is.Equal(c.Region, "from-flag")
 }
 
-func TestBadEnvironmentIsNamed(t *testing.T) {
+func TestInvalidEnvironmentVariableIsNamed(t *testing.T) {
 	is := is.New(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
 	Bind(fs)
--- a/config/router.go
+++ b/config/router.go
@@ -6,45 +6,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Router is the configuration of a node that routes by a platform's catalog.
-// An adapter fills it in from the platform's settings.
+// Router is the configuration of a router node, whose routes are defined by a
+// platform's catalog. An adapter sets it from the platform's settings.
 type Router struct {
 	NodeID        string
 	Region        string
 	FailureDomain string
-	// Regions are those of all failure domains, by the domain's name.
+	// Regions maps the name of each failure domain to its region.
 	Regions map[string]string
-	// Listen takes callers, ReadyListen the balancer's readiness checks.
+	// Listen is the address for callers' requests, ReadyListen that for the load
+	// balancer's readiness checks.
 	Listen      string
 	ReadyListen string
-	// PeerListen takes the other nodes' datagrams and connections.
+	// PeerListen is the address for datagrams and connections of other nodes.
 	PeerListen string
-	// Seeds are PeerListen addresses of other nodes; some may be stale.
+	// Seeds are PeerListen addresses of other nodes; some may be outdated.
 	Seeds []string
-	// MetricsListen serves the metrics; empty for none.
+	// MetricsListen is the address that serves metrics; empty for none.
 	MetricsListen string
 	// StoreAddr is the ip:port of the platform's store.
 	StoreAddr string
-	// MemoryLimit is what the process may use, in bytes; 0 for no limit.
+	// MemoryLimit is the memory that the process may use, in bytes; 0 for no limit.
 	MemoryLimit int64
-	// MaxFiles is the number of descriptors that the process may open, sockets
-	// included; 0 for no limit.
+	// MaxFiles is the number of file descriptors that the process may open,
+	// including sockets; 0 for no limit.
 	MaxFiles int
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace time.Duration
-	// RetryShare, RetryWindow and RetrySlack bound the fleet's retries to a
-	// service: within any RetryWindow, RetryShare of its requests + RetrySlack.
+	// RetryShare, RetryWindow and RetrySlack limit the fleet's retries to a service:
+	// within any RetryWindow at most RetryShare * requests + RetrySlack.
 	RetryShare  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
 }
 
-// Validate reports every fault at once, each with its remedy.
+// Validate returns all errors of the configuration joined, each with its remedy.
 func (c *Router) Validate() error {
-	var faults []error
-	check := func(ok bool, remedy string) {
+	var errs []error
+	check := func(ok bool, message string) {
 		if !ok {
-			faults = append(faults, errors.New(remedy))
+			errs = append(errs, errors.New(message))
 		}
 	}
 	check(c.NodeID != "", "the node's name is empty: name it in the settings file")
@@ -57,5 +58,5 @@
 	check(c.RetryShare >= 0 && c.RetryShare <= 1, "the retry share is not between 0 and 1: use 0.2")
 	check(c.RetryWindow > 0, "the retry window is not positive: use 10 s")
 	check(c.RetrySlack >= 0, "the retry slack is negative: use 0 for none")
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
