--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel is the small core of a node: services register under dotted
-// IDs, find each other by name, and pass through one lifecycle together:
-// Provision, Validate, Start and, in reverse order, Drain and Stop.
+// Package kernel is the service container of a node: services register under
+// dotted IDs, look each other up by ID, and share one lifecycle: Provision,
+// Validate, Start and, in reverse order, Drain and Stop.
 package kernel
 
 import (
@@ -15,37 +15,40 @@
 // Service is anything that can be registered with a Kernel. A service takes
 // part in each lifecycle phase whose interface it implements.
 type Service interface {
-	// ID returns the name under which other services look this one up.
+	// ID returns the ID under which other services look this one up.
 	ID() ID
 }
 
-// Provisioner looks up the services it depends on. No service has been
-// started when Provision runs.
+// Provisioner is a service that looks up the services it depends on. Provision
+// runs before any service is started.
 type Provisioner interface{ Provision(k *Kernel) error }
 
-// Validator reports every fault of a provisioned service before any starts.
+// Validator is a service that checks its configuration. Validate returns all
+// errors of a provisioned service; it runs before any service is started.
 type Validator interface{ Validate() error }
 
-// Starter begins work. Start must return once the service is usable; ctx ends
-// when the kernel stops.
+// Starter is a service that is started. Start must return once the service is
+// usable; ctx ends when every service has stopped.
 type Starter interface {
 	Start(ctx context.Context) error
 }
 
-// Drainer prepares to stop: it announces the stop, takes on no new duty and
-// hands over those it has. Drain returns soon, with the service still usable:
-// requests in progress and other nodes need it until Stop.
+// Drainer is a service that prepares to stop: it announces the shutdown,
+// takes over no further roles in the fleet and hands over those it has, such as
+// leases. Drain returns quickly and leaves the service usable: requests in
+// progress and other nodes need it until Stop.
 type Drainer interface {
 	Drain(ctx context.Context) error
 }
 
-// Stopper ends work gracefully. Stop returns when nothing is in progress or
-// ctx has ended.
+// Stopper is a service that shuts down gracefully. Stop returns when no work is
+// in progress or ctx has ended.
 type Stopper interface {
 	Stop(ctx context.Context) error
 }
 
-// Kernel holds the registered services in registration order.
+// Kernel holds the registered services in registration order and runs their
+// lifecycle.
 type Kernel struct {
 	services []Service
 	byID     map[ID]Service
@@ -53,8 +56,8 @@
 	cancel   context.CancelFunc
 }
 
-// New returns a kernel that holds the given services. It fails if two share
-// an ID.
+// New returns a kernel with the given services. It fails if two have the same
+// ID.
 func New(services ...Service) (*Kernel, error) {
 	k := &Kernel{byID: make(map[ID]Service)}
 	for _, s := range services {
@@ -75,8 +78,8 @@
 	return nil
 }
 
-// Lookup returns the service registered under id as a T. It fails if there is
-// none or if it doesn't implement T.
+// Lookup returns the service registered under id as a T. It fails if no service
+// is registered under id or if it doesn't implement T.
 func Lookup[T any](k *Kernel, id ID) (T, error) {
 	var zero T
 	s, ok := k.byID[id]
@@ -85,14 +88,15 @@
 	}
 	t, ok := s.(T)
 	if !ok {
-		return zero, errors.Newf("kernel: service %q is a %T, which lacks the wanted interface", id, s)
+		return zero, errors.Newf("kernel: service %q is a %T, which doesn't implement the requested interface", id, s)
 	}
 	return t, nil
 }
 
 // Start provisions and validates every service, then starts them in
-// registration order. If one fails to start, those already started are
-// stopped. The context that services get outlives ctx: it ends with Stop.
+// registration order. If one fails to start, those already started are drained
+// and stopped. The context passed to the services is not canceled with ctx: it
+// ends when Stop returns.
 func (k *Kernel) Start(ctx context.Context) error {
 	if err := k.provision(); err != nil {
 		return err
@@ -114,9 +118,10 @@
 	return nil
 }
 
-// Stop drains every started service, then stops them, both in reverse order,
-// and then ends the context they were started with. So a service that others
-// depend on is usable until those have stopped. It returns the combined errors.
+// Stop drains all started services, then stops them, both in reverse order,
+// and then cancels the context they were started with. A service is thus usable
+// until the services that depend on it have stopped. Stop returns the combined
+// errors.
 func (k *Kernel) Stop(ctx context.Context) error {
 	errs := k.drain(ctx)
 	for i := len(k.started) - 1; i >= 0; i-- {
