--- a/node/node.go
+++ b/node/node.go
@@ -1,4 +1,5 @@
-// Package node assembles the services of one node.
+// Package node assembles the services of a node by dependency injection; the
+// injectors in wire_gen.go are generated from wire.go.
 package node
 
 import (
@@ -30,6 +31,7 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
+// vmListTimeout is the timeout for one read of the VM list.
 const vmListTimeout = 2 * time.Second
 
 func provideLogger(cfg *config.Node, w io.Writer) (*log.Logger, error) {
@@ -91,7 +93,7 @@
 	return gossip.New(guard, hub, mem, l)
 }
 
-// provideKernel registers the services in the order in which they start.
+// provideKernel registers the services in their start order.
 func provideKernel(
 	tel telemetry.Service,
 	hub *peer.Hub,
--- a/node/router.go
+++ b/node/router.go
@@ -16,34 +16,35 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// Platform is what a router node needs of the platform's adapter.
+// Platform contains the parts of a platform's adapter that a router node uses.
 type Platform struct {
 	Store   replica.Source
 	Schema  replica.Schema
 	Dialect router.Dialect
-	// Seeds returns addresses at which other nodes may be.
+	// Seeds returns possible addresses of other nodes; some may be outdated.
 	Seeds func() []string
 }
 
-// routerLogLevel is that of the lines by which a failed request is explained.
+// routerLogLevel is the level of the log lines that explain failed requests.
 const routerLogLevel = "info"
 
 func provideRouterLogger(cfg *config.Router, w io.Writer) (*log.Logger, error) {
 	return telemetry.NewLogger(w, routerLogLevel, cfg.NodeID)
 }
 
-// provideRegisterer gives the registry, which is made before the node since the
-// log's writer counts in it too, under the interface that services want.
+// provideRegisterer returns the registry as the interface that services use. The
+// registry is created before the node, since the log writer has metrics in it too.
 func provideRegisterer(reg *prometheus.Registry) prometheus.Registerer { return reg }
 
-// peerIdle is how long a connection between routers is kept without a call. They
-// copy from whichever node is ahead, in bursts while targets come and go; a node
-// of 66 had 93 connections with a longer time, and a new one costs a round trip.
-const peerIdle = time.Second
+// peerIdleTimeout is the time after which an idle connection between router nodes is closed.
+// Nodes copy state from whichever node is ahead, in bursts while targets change. With
+// a longer time, a node in a fleet of 66 had 93 connections; opening a new one costs
+// one round trip.
+const peerIdleTimeout = time.Second
 
 func provideRouterHub(cfg *config.Router, l *log.Logger, reg prometheus.Registerer) *peer.Hub {
 	hub := peer.NewHub(cfg.PeerListen, l, reg)
-	hub.CloseIdleAfter(peerIdle)
+	hub.CloseIdleAfter(peerIdleTimeout)
 	return hub
 }
 
@@ -69,8 +70,8 @@
 	return telemetry.NewServer(cfg.MetricsListen, reg, l)
 }
 
-// provideRouterKernel registers the services in the order in which they start:
-// the router last, so that it listens when all else works, and stops first.
+// provideRouterKernel registers the services in their start order: the router is
+// last, so that it starts to listen after all other services and stops before them.
 func provideRouterKernel(
 	tel telemetry.Service, srv *telemetry.Server, hub *peer.Hub, x *heartbeat.Exchange,
 	rep *replica.Replica, r *router.Router,
--- a/node/wire.go
+++ b/node/wire.go
@@ -16,7 +16,7 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
-// services is the set of providers of a node.
+// services is the set of providers for New.
 var services = wire.NewSet(
 	provideLogger,
 	telemetry.NewRegistry,
@@ -37,7 +37,7 @@
 	provideKernel,
 )
 
-// routerServices is the set of providers of a router node.
+// routerServices is the set of providers for NewRouter.
 var routerServices = wire.NewSet(
 	provideRouterLogger,
 	telemetry.NewService,
@@ -50,14 +50,15 @@
 	provideRouterKernel,
 )
 
-// NewRouter assembles a node that routes by a platform's catalog. Logs go to
-// logs, metrics to reg.
+// NewRouter assembles a node that routes requests by a platform's catalog. Logs are
+// written to logs and metrics registered in reg.
 func NewRouter(cfg *config.Router, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
 	wire.Build(routerServices)
 	return nil, nil
 }
 
-// New assembles a node. Logs go to logs.
+// New assembles a node that is configured by flags and reads its targets from the VM
+// list. Logs are written to logs.
 func New(cfg *config.Node, logs io.Writer) (*kernel.Kernel, error) {
 	wire.Build(services)
 	return nil, nil
--- a/node/wire_gen.go
+++ b/node/wire_gen.go
@@ -20,8 +20,8 @@
 
 // Injectors from wire.go:
 
-// NewRouter assembles a node that routes by a platform's catalog. Logs go to
-// logs, metrics to reg.
+// NewRouter assembles a node that routes requests by a platform's catalog. Logs are
+// written to logs and metrics registered in reg.
 func NewRouter(cfg *config.Router, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
 	service := telemetry.NewService(reg)
 	logger, err := provideRouterLogger(cfg, logs)
@@ -41,7 +41,8 @@
 	return kernelKernel, nil
 }
 
-// New assembles a node. Logs go to logs.
+// New assembles a node that is configured by flags and reads its targets from the VM
+// list. Logs are written to logs.
 func New(cfg *config.Node, logs io.Writer) (*kernel.Kernel, error) {
 	registry := telemetry.NewRegistry()
 	service := telemetry.NewService(registry)
@@ -70,7 +71,7 @@
 
 // wire.go:
 
-// services is the set of providers of a node.
+// services is the set of providers for New.
 var services = wire.NewSet(
 	provideLogger, telemetry.NewRegistry, telemetry.NewService, wire.Bind(new(prometheus.Registerer), new(*prometheus.Registry)), provideStore,
 	provideVMList,
@@ -82,7 +83,7 @@
 	provideGossip, gateway.New, provideKernel,
 )
 
-// routerServices is the set of providers of a router node.
+// routerServices is the set of providers for NewRouter.
 var routerServices = wire.NewSet(
 	provideRouterLogger, telemetry.NewService, provideRegisterer,
 	provideMetricsServer,
