--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,12 +1,12 @@
-// Package clock tells a time that never jumps.
+// Package clock provides a time that doesn't jump when the system clock is set.
 package clock
 
 import "time"
 
 var base = time.Now()
 
-// Steady returns the time of day as it was when the process began, moved on by the
-// steady clock since. Unlike with time.Now, its Unix time goes on evenly when the
-// time of day is set, as counts by slots of time need it. It may be off by as much
-// as the time of day was set; it is not for dates.
+// Steady returns the time of day at which the process started plus the monotonic time since
+// then. Unlike that of time.Now, its Unix time advances steadily when the system clock is set,
+// which counters in slots of time require. It differs from the time of day by as much as the
+// system clock was set; don't use it for dates.
 func Steady() time.Time { return base.Add(time.Since(base)) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The Unix time must be that of the steady clock: with time.Now the two drift apart
-// when the time of day is set.
-func TestUnixTimeFollowsTheSteadyClock(t *testing.T) {
+// The Unix time of Steady must follow the monotonic clock: those of time.Now diverge when the
+// system clock is set.
+func TestUnixTimeFollowsMonotonicClock(t *testing.T) {
 	is := is.New(t)
 	first := Steady()
 	for range 1000 {
