--- a/socket/socket_other.go
+++ b/socket/socket_other.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// UnackedTimeout returns a function that does nothing: the option it would set
-// is Linux's own.
+// UnackedTimeout returns a Control function that does nothing: the option is
+// specific to Linux.
 func UnackedTimeout(time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(string, string, syscall.RawConn) error { return nil }
 }
