--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -186,7 +186,7 @@
 		return admission.Unknown
 	case fail == nil:
 		return admission.Answered
-	case errors.Is(fail.cause, notice.ErrUnwanted):
+	case errors.Is(fail.cause, notice.ErrTargetDeclined):
 		return admission.Unknown
 	case fail.reason == problem.TargetRefused:
 		return admission.Overloaded
@@ -204,7 +204,7 @@
 	}
 	resp, progress, err := g.clients.forRequest(f.repeatable).Do(req, g.gate(c, f, t))
 	if errors.Is(err, upstream.ErrGateClosed) && !g.notices.maySend(t, time.Now()) {
-		return &attemptError{progress: progress, reason: problem.TargetRefused, cause: notice.ErrUnwanted}
+		return &attemptError{progress: progress, reason: problem.TargetRefused, cause: notice.ErrTargetDeclined}
 	}
 	if err != nil {
 		g.cancelIfGone(ctx, c, f, t, gen, progress)
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -37,7 +37,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, change := n.book.Hear(runOf(t), announced, now, n.rng)
+	_, change := n.book.Record(runOf(t), announced, now, n.rng)
 	return change
 }
 
@@ -50,7 +50,7 @@
 func (n *notices) cooldownFor(t targets.Target, now time.Time) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.book.State(runOf(t)).RestFor(now)
+	return n.book.State(runOf(t)).CooldownLeft(now)
 }
 
 // coolingDown returns the IDs of the pool's targets in a cooldown. If all others are leaving, or
@@ -63,7 +63,7 @@
 	}
 	others := false
 	for _, t := range pool {
-		left := n.book.State(runOf(t)).RestFor(now)
+		left := n.book.State(runOf(t)).CooldownLeft(now)
 		switch {
 		case left > 0:
 			ids = append(ids, t.ID)
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -74,7 +74,7 @@
 // slot or connection, that it is leaving or asked for a cooldown.
 func TestRequestIsNotSentAfterANotice(t *testing.T) {
 	for name, announced := range map[string]notice.Notice{
-		"leaving": {Leaving: true}, "cooldown": {Rest: time.Minute},
+		"leaving": {Leaving: true}, "cooldown": {RetryAfter: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/health/fleet_test.go
+++ b/health/fleet_test.go
@@ -52,7 +52,7 @@
 		each, service := simulate(rng, nodes, requests, rates).sums(len(rates))
 		Attribute(each, len(each), service)
 		for i, c := range each {
-			if (&State{}).Judge(cfg, c, service, now) {
+			if (&State{}).Evaluate(cfg, c, service, now) {
 				out[i]++
 			}
 		}
--- a/health/health.go
+++ b/health/health.go
@@ -157,10 +157,10 @@
 	return sum
 }
 
-// Judge suspends a target whose failures are significant. fleet is what all nodes together
+// Evaluate suspends a target whose failures are significant. fleet is what all nodes together
 // counted of the target, service what they counted of its whole service. It returns true if
 // the target has just been suspended.
-func (s *State) Judge(c Config, fleet, service Counts, now time.Time) bool {
+func (s *State) Evaluate(c Config, fleet, service Counts, now time.Time) bool {
 	if s.Suspended(now) || !c.significant(fleet, service) {
 		return false
 	}
@@ -198,8 +198,8 @@
 	return true
 }
 
-// Reached records that a trial opened a connection.
-func (s *State) Reached() {
+// RecordReachable records that a trial opened a connection.
+func (s *State) RecordReachable() {
 	s.unreachable = false
 	s.pause = 0
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -23,7 +23,7 @@
 	is.True(!s.Observe(cfg, Unreachable, start.Add(cfg.FirstTrial)))
 	is.True(!s.Trial(start.Add(2 * cfg.FirstTrial)))
 	is.True(s.Trial(start.Add(3 * cfg.FirstTrial)))
-	s.Reached()
+	s.RecordReachable()
 	is.True(!s.Suspended(start.Add(3 * cfg.FirstTrial)))
 }
 
@@ -44,7 +44,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var s State
-			is.New(t).Equal(s.Judge(cfg, tt.fleet, tt.service, start), tt.want)
+			is.New(t).Equal(s.Evaluate(cfg, tt.fleet, tt.service, start), tt.want)
 			is.New(t).Equal(s.Suspended(start), tt.want)
 			is.New(t).True(!s.Suspended(start.Add(cfg.SuspendFor)))
 		})
--- a/notice/book.go
+++ b/notice/book.go
@@ -35,21 +35,21 @@
 // State returns the notices of a run so far, nil if there are none.
 func (b *Book) State(r Run) *State { return b.states[r] }
 
-// Hear records a notice of a run.
-func (b *Book) Hear(r Run, n Notice, now time.Time, rng *rand.Rand) (*State, Change) {
+// Record records a notice of a run.
+func (b *Book) Record(r Run, n Notice, now time.Time, rng *rand.Rand) (*State, Change) {
 	s := b.getOrCreate(r)
-	change := s.Hear(n, now, rng)
+	change := s.Record(n, now, rng)
 	if s.restUntil.After(b.restsUntil) {
 		b.restsUntil = s.restUntil
 	}
 	return s, change
 }
 
-// Succeed transfers a Retry-After period from an earlier run to a later one under the same ID.
+// Inherit transfers a Retry-After period from an earlier run to a later one under the same ID.
 // It must be called when the later run becomes known.
-func (b *Book) Succeed(earlier, later Run, now time.Time) {
+func (b *Book) Inherit(earlier, later Run, now time.Time) {
 	previous := b.states[earlier]
-	if !previous.Rests(now) || b.states[later] != nil {
+	if !previous.InCooldown(now) || b.states[later] != nil {
 		return
 	}
 	b.getOrCreate(later).inheritRest(previous, now)
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -12,8 +12,8 @@
 type Notice struct {
 	// Leaving means that the target is about to shut down.
 	Leaving bool
-	// Rest is how long the target wants no requests from this node, 0 if it requested none.
-	Rest time.Duration
+	// RetryAfter is how long the target wants no requests from this node, 0 if it requested none.
+	RetryAfter time.Duration
 	// Unreadable is a Retry-After value that gives no time, empty if there is none.
 	Unreadable string
 }
@@ -54,18 +54,18 @@
 type Change struct {
 	// NewlyLeaving: the target was not known to be shutting down. RestExtended: its rest ends
 	// later than before. FirstUnreadable: it had not sent an unreadable Retry-After before.
-	NewlyLeaving, RestExtended, FirstUnreadable bool
+	NewlyLeaving, CooldownExtended, FirstUnreadable bool
 }
 
-// Hear records a notice. A shutdown is never revoked, and a shorter rest doesn't end a longer
+// Record records a notice. A shutdown is never revoked, and a shorter rest doesn't end a longer
 // one, since responses may arrive out of order.
-func (s *State) Hear(n Notice, now time.Time, rng *rand.Rand) Change {
+func (s *State) Record(n Notice, now time.Time, rng *rand.Rand) Change {
 	var c Change
 	if n.Leaving && !s.leaving {
 		s.leaving, c.NewlyLeaving = true, true
 	}
-	if until := now.Add(n.Rest + jitter(n.Rest, rng)); n.Rest > 0 && until.After(s.restUntil) {
-		s.restUntil, s.restRequested, c.RestExtended = until, now, true
+	if until := now.Add(n.RetryAfter + jitter(n.RetryAfter, rng)); n.RetryAfter > 0 && until.After(s.restUntil) {
+		s.restUntil, s.restRequested, c.CooldownExtended = until, now, true
 	}
 	if n.Unreadable != "" && !s.unreadable {
 		s.unreadable, c.FirstUnreadable = true, true
@@ -81,16 +81,16 @@
 // Leaving reports whether the run has announced its shutdown.
 func (s *State) Leaving() bool { return s != nil && s.leaving }
 
-// Rests reports whether the run wants no requests at now.
-func (s *State) Rests(now time.Time) bool { return s != nil && now.Before(s.restUntil) }
+// InCooldown reports whether the run wants no requests at now.
+func (s *State) InCooldown(now time.Time) bool { return s != nil && now.Before(s.restUntil) }
 
-// RestFor returns the remaining time of the run's rest, 0 if there is none.
-func (s *State) RestFor(now time.Time) time.Duration {
-	if !s.Rests(now) {
+// CooldownLeft returns the remaining time of the run's rest, 0 if there is none.
+func (s *State) CooldownLeft(now time.Time) time.Duration {
+	if !s.InCooldown(now) {
 		return 0
 	}
 	return s.restUntil.Sub(now)
 }
 
 // MaySend reports whether a request may be sent to the run at now.
-func (s *State) MaySend(now time.Time) bool { return !s.Leaving() && !s.Rests(now) }
+func (s *State) MaySend(now time.Time) bool { return !s.Leaving() && !s.InCooldown(now) }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -22,16 +22,16 @@
 		value, date string
 		want        Notice
 	}{
-		"seconds":             {value: "3", want: Notice{Rest: 3 * time.Second}},
-		"a fraction":          {value: " 0.25 ", want: Notice{Rest: 250 * time.Millisecond}},
+		"seconds":             {value: "3", want: Notice{RetryAfter: 3 * time.Second}},
+		"a fraction":          {value: " 0.25 ", want: Notice{RetryAfter: 250 * time.Millisecond}},
 		"none":                {value: "0"},
 		"no header":           {},
-		"a date":              {value: date(5 * time.Second), want: Notice{Rest: 5 * time.Second}},
+		"a date":              {value: date(5 * time.Second), want: Notice{RetryAfter: 5 * time.Second}},
 		"a date that is past": {value: date(-5 * time.Second)},
-		"the target's clock":  {value: date(time.Hour + 4*time.Second), date: date(time.Hour), want: Notice{Rest: 4 * time.Second}},
-		"too long":            {value: "1000000000", want: Notice{Rest: maxRest}},
-		"out of range":        {value: strings.Repeat("9", 400), want: Notice{Rest: maxRest}},
-		"a far date":          {value: date(1000 * time.Hour), want: Notice{Rest: maxRest}},
+		"the target's clock":  {value: date(time.Hour + 4*time.Second), date: date(time.Hour), want: Notice{RetryAfter: 4 * time.Second}},
+		"too long":            {value: "1000000000", want: Notice{RetryAfter: maxRest}},
+		"out of range":        {value: strings.Repeat("9", 400), want: Notice{RetryAfter: maxRest}},
+		"a far date":          {value: date(1000 * time.Hour), want: Notice{RetryAfter: maxRest}},
 		"negative":            {value: "-1", want: Notice{Unreadable: "-1"}},
 		"not a number":        {value: "NaN", want: Notice{Unreadable: "NaN"}},
 		"hexadecimal":         {value: "0x10", want: Notice{Unreadable: "0x10"}},
@@ -55,19 +55,19 @@
 	is := is.New(t)
 	var s State
 	is.True(!s.Leaving())
-	is.Equal(s.Hear(Notice{Leaving: true, Rest: 3 * time.Second}, start, random()), Change{NewlyLeaving: true, RestExtended: true})
-	is.Equal(s.Hear(Notice{Leaving: true, Rest: time.Second}, start, random()), Change{})
-	is.True(s.Rests(start.Add(3*time.Second - 1)))
-	is.True(!s.Rests(start.Add(3*time.Second + maxJitter)))
-	s.Hear(Notice{}, start.Add(time.Hour), random())
+	is.Equal(s.Record(Notice{Leaving: true, RetryAfter: 3 * time.Second}, start, random()), Change{NewlyLeaving: true, CooldownExtended: true})
+	is.Equal(s.Record(Notice{Leaving: true, RetryAfter: time.Second}, start, random()), Change{})
+	is.True(s.InCooldown(start.Add(3*time.Second - 1)))
+	is.True(!s.InCooldown(start.Add(3*time.Second + maxJitter)))
+	s.Record(Notice{}, start.Add(time.Hour), random())
 	is.True(s.Leaving())
 }
 
 func TestUnreadableIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var s State
-	is.True(s.Hear(Notice{Unreadable: "soon"}, start, random()).FirstUnreadable)
-	is.True(!s.Hear(Notice{Unreadable: "later"}, start, random()).FirstUnreadable)
+	is.True(s.Record(Notice{Unreadable: "soon"}, start, random()).FirstUnreadable)
+	is.True(!s.Record(Notice{Unreadable: "later"}, start, random()).FirstUnreadable)
 	is.True(s.MaySend(start))
 }
 
@@ -81,13 +81,13 @@
 		for range rapid.IntRange(1, 8).Draw(t, "notices") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later ms")) * time.Millisecond)
 			rest := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest ms")) * time.Millisecond
-			s.Hear(Notice{Rest: rest}, now, random())
+			s.Record(Notice{RetryAfter: rest}, now, random())
 			if at := now.Add(rest); rest > 0 && at.After(end) {
 				end = at
 			}
 		}
-		until := now.Add(s.RestFor(now))
-		if until.Before(end) || s.Rests(now) && until.After(end.Add(maxJitter)) {
+		until := now.Add(s.CooldownLeft(now))
+		if until.Before(end) || s.InCooldown(now) && until.After(end.Add(maxJitter)) {
 			t.Fatalf("rests until %v, asked until %v", until, end)
 		}
 	})
@@ -97,15 +97,15 @@
 	is := is.New(t)
 	b := NewBook(2)
 	old, later, other := Run{"a", 1}, Run{"a", 2}, Run{"b", 0}
-	b.Hear(old, Notice{Leaving: true}, start, random())
+	b.Record(old, Notice{Leaving: true}, start, random())
 	is.True(b.State(old).Leaving())
 	is.True(!b.State(later).Leaving())
-	b.Hear(later, Notice{Rest: time.Second}, start, random())
-	b.Hear(other, Notice{Leaving: true}, start, random())
+	b.Record(later, Notice{RetryAfter: time.Second}, start, random())
+	b.Record(other, Notice{Leaving: true}, start, random())
 	is.Equal(len(b.states), 2)
 	is.True(!b.State(old).Leaving()) // evicted
 	is.True(b.State(other).Leaving())
-	is.True(b.State(later).RestFor(start) >= time.Second)
+	is.True(b.State(later).CooldownLeft(start) >= time.Second)
 	is.True(b.Resting(start))
 	is.True(!b.Resting(start.Add(time.Minute)))
 }
--- a/notice/report.go
+++ b/notice/report.go
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// ErrUnwanted means that a request was not sent to its target, since a response of the target
+// ErrTargetDeclined means that a request was not sent to its target, since a response of the target
 // with a notice arrived in the meantime.
-var ErrUnwanted = errors.New("the target has said meanwhile that it leaves or wants no requests for a while")
+var ErrTargetDeclined = errors.New("the target has said meanwhile that it leaves or wants no requests for a while")
 
 // Help and Label are those of the counter of notices.
 const (
@@ -30,9 +30,9 @@
 		notices.WithLabelValues(kindLeaving).Inc()
 		l.Info("target announced its shutdown")
 	}
-	if c.RestExtended {
+	if c.CooldownExtended {
 		notices.WithLabelValues(kindRest).Inc()
-		l.Info("target sent Retry-After", "rest_ms", n.Rest.Milliseconds())
+		l.Info("target sent Retry-After", "rest_ms", n.RetryAfter.Milliseconds())
 	}
 	if c.FirstUnreadable {
 		notices.WithLabelValues(kindUnreadable).Inc()
--- a/notice/retryafter.go
+++ b/notice/retryafter.go
@@ -27,7 +27,7 @@
 		return Notice{}
 	}
 	if seconds.MatchString(value) {
-		return Notice{Rest: parseSeconds(value)}
+		return Notice{RetryAfter: parseSeconds(value)}
 	}
 	at, err := http.ParseTime(value)
 	if err != nil {
@@ -37,7 +37,7 @@
 	if sent, err := http.ParseTime(h.Get("Date")); err == nil {
 		now = sent
 	}
-	return Notice{Rest: min(max(at.Sub(now), 0), maxRest)}
+	return Notice{RetryAfter: min(max(at.Sub(now), 0), maxRest)}
 }
 
 // parseSeconds parses a number of seconds. A number out of range gives maxRest.
--- a/router/evaluate.go
+++ b/router/evaluate.go
@@ -101,7 +101,7 @@
 			Unreachable: m.state.Unreachable(),
 			Excluded:    crit.excludes(m.target.ID),
 			Leaving:     m.notices.Leaving(),
-			Resting:     m.notices.Rests(now),
+			Resting:     m.notices.InCooldown(now),
 			Outside:     !crit.regions.Allow(p.regionOf[m.target.FailureDomain]),
 			Kept:        holding.Tokens,
 			Settled:     holding.Settled,
@@ -140,10 +140,10 @@
 	total := sums[n].Counts.Plus(p.ownCounts(s, now))
 	health.Attribute(all, len(s.list), total)
 	for i, m := range members {
-		if m.notices.Rests(now) {
+		if m.notices.InCooldown(now) {
 			continue
 		}
-		if m.state.Judge(p.healthConfig, all[i], total, now) {
+		if m.state.Evaluate(p.healthConfig, all[i], total, now) {
 			p.log.Warn("target suspended", "target", m.target.ID, "answered", all[i].Answered,
 				"failed", all[i].Failed, "service_answered", total.Answered, "service_failed", total.Failed)
 		}
@@ -164,7 +164,7 @@
 // startTrials starts the trials that are due of targets that this node could not reach.
 func (p *pool) startTrials(s *serviceMembers, now time.Time) {
 	for m := range s.reportable {
-		if !m.state.Unreachable() || m.notices.Rests(now) || m.target.Evacuated || m.notices.Leaving() {
+		if !m.state.Unreachable() || m.notices.InCooldown(now) || m.target.Evacuated || m.notices.Leaving() {
 			continue
 		}
 		if m.state.Trial(now) {
--- a/router/forward.go
+++ b/router/forward.go
@@ -205,7 +205,7 @@
 	f := &failure{progress: p, reason: problem.TargetFailed, cause: err}
 	switch {
 	case errors.Is(err, upstream.ErrGateClosed):
-		f.cause, f.stale = notice.ErrUnwanted, true
+		f.cause, f.stale = notice.ErrTargetDeclined, true
 	case overdue:
 		// The wait is recorded doubled: otherwise the estimate would only contain answers that
 		// arrived in time. It is no evidence against the target, which may be reading a long
--- a/router/notices.go
+++ b/router/notices.go
@@ -25,7 +25,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	run := runOf(a.target)
-	state, change := p.notices.Hear(run, n, p.now(), p.rng)
+	state, change := p.notices.Record(run, n, p.now(), p.rng)
 	a.member.notices = state
 	// The target may have been removed and added again since it was chosen.
 	if m, ok := p.members[run.Target]; ok && runOf(m.target) == run {
@@ -56,7 +56,7 @@
 		if !c.Resting {
 			return 0
 		}
-		if rest := p.members[c.ID].notices.RestFor(now); shortest == 0 || rest < shortest {
+		if rest := p.members[c.ID].notices.CooldownLeft(now); shortest == 0 || rest < shortest {
 			shortest = rest
 		}
 	}
--- a/router/notices_sim_test.go
+++ b/router/notices_sim_test.go
@@ -188,8 +188,8 @@
 					}
 				}
 				accepted, announced := respond(f, l.target)
-				if announced.Rest > 0 && !f.now.Before(until[key]) {
-					until[key], rests[key] = f.now.Add(announced.Rest), nil
+				if announced.RetryAfter > 0 && !f.now.Before(until[key]) {
+					until[key], rests[key] = f.now.Add(announced.RetryAfter), nil
 				}
 				handle(f, n, l, accepted, announced)
 				if accepted {
@@ -259,7 +259,7 @@
 	if since < simWarmUp || !slices.Contains(s.affectedIDs(), t.ID) || f.rng.Float64() >= s.shed {
 		return true, notice.Notice{}
 	}
-	return false, notice.Notice{Rest: simRest}
+	return false, notice.Notice{RetryAfter: simRest}
 }
 
 // A node sends no requests to targets that announced to it that they leave, and each node
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-var rests = notice.Notice{Rest: 3 * time.Second}
+var rests = notice.Notice{RetryAfter: 3 * time.Second}
 
 // Guards against two ways of sending to a target that asked for a rest: a request that was
 // already waiting for a connection, and a retry at a target that was abandoned as overdue.
@@ -145,7 +145,7 @@
 	w := criteria{service: service}
 	p.recordNotice(p.take(t, "b"), rests)
 	is.Equal(p.shortestRest(w), time.Duration(0)) // b accepts requests
-	p.recordNotice(p.take(t, "a"), notice.Notice{Rest: time.Minute})
+	p.recordNotice(p.take(t, "a"), notice.Notice{RetryAfter: time.Minute})
 	is.True(p.shortestRest(w) >= 3*time.Second)
 	is.True(p.shortestRest(w) < 4*time.Second)
 	is.True(errors.Is(p.noTargetReason(w), errResting))
@@ -179,7 +179,7 @@
 // A rest that was asked for long before a restart belongs to the earlier run.
 func TestRestOfAnEarlierRunEndsWithTheRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
-	p.recordNotice(p.take(t), notice.Notice{Rest: time.Hour})
+	p.recordNotice(p.take(t), notice.Notice{RetryAfter: time.Hour})
 	p.clock = p.clock.Add(time.Minute)
 	p.put(run("a", 11))
 	_, _, ok := p.acquire(criteria{service: service})
--- a/router/pool.go
+++ b/router/pool.go
@@ -189,7 +189,7 @@
 	m, ok := p.members[t.ID]
 	if ok && !m.target.Started.Equal(t.Started) {
 		// The state and connections of the earlier run are not valid for the new one.
-		p.notices.Succeed(runOf(m.target), runOf(t), p.now())
+		p.notices.Inherit(runOf(m.target), runOf(t), p.now())
 		p.end(m)
 		ok = false
 	}
@@ -320,7 +320,7 @@
 		m.state.Observe(p.healthConfig, health.Unreachable, p.now())
 		return
 	}
-	m.state.Reached()
+	m.state.RecordReachable()
 	p.log.Info("target reachable again", "target", m.target.ID)
 }
 
