--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -24,9 +24,9 @@
 	// TTL is how long a target is assumed to cache a part after its last use. Engines evict
 	// the least recently used parts when their memory is full.
 	TTL time.Duration
-	// Settle is how long a target needs to prefill a part: about 100 ms for the longest, and
+	// PrefillTime is how long a target needs to prefill a part: about 100 ms for the longest, and
 	// several times that when it is busy.
-	Settle time.Duration
+	PrefillTime time.Duration
 	// InUse is how long after its last use a part is likely to be used again.
 	InUse time.Duration
 	// MaxHolders is the maximum number of targets recorded for one part, and MaxParts the
@@ -41,7 +41,7 @@
 // load: 700,000 tokens at 8,000 new tokens a second.
 func DefaultConfig() Config {
 	return Config{
-		TTL: time.Minute, Settle: 600 * time.Millisecond, InUse: 10 * time.Second,
+		TTL: time.Minute, PrefillTime: 600 * time.Millisecond, InUse: 10 * time.Second,
 		MaxHolders: 32, MaxParts: 50_000, Refresh: 8 * time.Second,
 	}
 }
@@ -71,9 +71,9 @@
 	Target uint32
 }
 
-// Sent records that this node sent the part to the target. It returns true if the use is due
+// RecordSent records that this node sent the part to the target. It returns true if the use is due
 // to be reported to the other nodes.
-func (t *Table) Sent(part uint64, target uint32, now time.Time) bool {
+func (t *Table) RecordSent(part uint64, target uint32, now time.Time) bool {
 	h := t.touch(uint32(part), target, now)
 	if now.Sub(h.reported) < t.cfg.Refresh {
 		return false
@@ -82,8 +82,8 @@
 	return true
 }
 
-// Heard records a use that another node reported.
-func (t *Table) Heard(u Use, now time.Time) { t.touch(u.Part, u.Target, now).reported = now }
+// RecordRemote records a use that another node reported.
+func (t *Table) RecordRemote(u Use, now time.Time) { t.touch(u.Part, u.Target, now).reported = now }
 
 func (t *Table) touch(part, target uint32, now time.Time) *holder {
 	list := t.parts[part]
@@ -134,8 +134,8 @@
 type Holding struct {
 	// Tokens is the number of tokens in the leading parts that were sent to the target.
 	Tokens int
-	// Settled reports that they were sent long enough ago for the prefill to be finished.
-	Settled bool
+	// Prefilled reports that they were sent long enough ago for the prefill to be finished.
+	Prefilled bool
 }
 
 // Recent returns the uses of the last InUse, at most limit.
@@ -155,10 +155,10 @@
 	return out
 }
 
-// Kept returns what each target caches of a prompt. Targets that cache nothing are left
+// Cached returns what each target caches of a prompt. Targets that cache nothing are left
 // out. A target that was sent a part was also sent the parts before it, so a part with more
 // holders than are recorded does not hide the holders of later parts.
-func (t *Table) Kept(parts []Part, now time.Time) map[uint32]Holding {
+func (t *Table) Cached(parts []Part, now time.Time) map[uint32]Holding {
 	kept := make(map[uint32]Holding)
 	sum := 0
 	for _, p := range parts {
@@ -169,7 +169,7 @@
 			if _, more := kept[h.target]; more || now.Sub(h.used) >= t.cfg.TTL {
 				continue
 			}
-			kept[h.target] = Holding{Tokens: sum, Settled: now.Sub(h.first) >= t.cfg.Settle}
+			kept[h.target] = Holding{Tokens: sum, Prefilled: now.Sub(h.first) >= t.cfg.PrefillTime}
 		}
 		sum -= parts[i].Tokens
 	}
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -14,13 +14,13 @@
 
 func TestKeptCountsLeadingParts(t *testing.T) {
 	is, table := is.New(t), NewTable(DefaultConfig())
-	table.Sent(1, 7, start)
-	table.Sent(2, 7, start)
-	table.Sent(1, 8, start)
-	is.Equal(table.Kept(prompt, start), map[uint32]Holding{7: {Tokens: 10_500}, 8: {Tokens: 500}})
-	is.Equal(table.Kept(nil, start), map[uint32]Holding{})
-	later := start.Add(DefaultConfig().Settle)
-	is.Equal(table.Kept(prompt, later)[7], Holding{Tokens: 10_500, Settled: true})
+	table.RecordSent(1, 7, start)
+	table.RecordSent(2, 7, start)
+	table.RecordSent(1, 8, start)
+	is.Equal(table.Cached(prompt, start), map[uint32]Holding{7: {Tokens: 10_500}, 8: {Tokens: 500}})
+	is.Equal(table.Cached(nil, start), map[uint32]Holding{})
+	later := start.Add(DefaultConfig().PrefillTime)
+	is.Equal(table.Cached(prompt, later)[7], Holding{Tokens: 10_500, Prefilled: true})
 }
 
 // A first part that all prompts share has more holders than are recorded. The holders of the
@@ -28,20 +28,20 @@
 func TestCommonPartHidesNoOther(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
-	table.Sent(1, 7, start)
-	table.Sent(2, 7, start)
+	table.RecordSent(1, 7, start)
+	table.RecordSent(2, 7, start)
 	for i := range uint32(2 * cfg.MaxHolders) {
-		table.Sent(1, 100+i, start.Add(time.Second))
+		table.RecordSent(1, 100+i, start.Add(time.Second))
 	}
-	is.Equal(table.Kept(prompt, start.Add(time.Second))[7].Tokens, 10_500)
+	is.Equal(table.Cached(prompt, start.Add(time.Second))[7].Tokens, 10_500)
 }
 
 func TestUnusedPartsExpire(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
-	table.Sent(1, 7, start)
-	is.Equal(len(table.Kept(prompt, start.Add(cfg.TTL-1))), 1)
-	is.Equal(len(table.Kept(prompt, start.Add(cfg.TTL))), 0)
+	table.RecordSent(1, 7, start)
+	is.Equal(len(table.Cached(prompt, start.Add(cfg.TTL-1))), 1)
+	is.Equal(len(table.Cached(prompt, start.Add(cfg.TTL))), 0)
 	table.Expire(start.Add(cfg.TTL))
 	is.Equal(len(table.parts), 0)
 }
@@ -50,25 +50,25 @@
 func TestUsesAreReportedAtIntervals(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
-	is.True(table.Sent(1, 7, start))
-	is.True(!table.Sent(1, 7, start.Add(time.Second)))
-	is.True(table.Sent(1, 8, start))
-	is.True(table.Sent(1, 7, start.Add(cfg.Refresh)))
-	table.Heard(Use{Part: 2, Target: 7}, start)
-	is.True(!table.Sent(2, 7, start.Add(time.Second)))
+	is.True(table.RecordSent(1, 7, start))
+	is.True(!table.RecordSent(1, 7, start.Add(time.Second)))
+	is.True(table.RecordSent(1, 8, start))
+	is.True(table.RecordSent(1, 7, start.Add(cfg.Refresh)))
+	table.RecordRemote(Use{Part: 2, Target: 7}, start)
+	is.True(!table.RecordSent(2, 7, start.Add(time.Second)))
 }
 
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
-	table := NewTable(Config{TTL: time.Minute, Settle: time.Second, InUse: time.Second, MaxHolders: 2, MaxParts: 3, Refresh: time.Second})
+	table := NewTable(Config{TTL: time.Minute, PrefillTime: time.Second, InUse: time.Second, MaxHolders: 2, MaxParts: 3, Refresh: time.Second})
 	for i := range uint32(5) {
-		table.Heard(Use{Part: 1, Target: i}, start.Add(time.Duration(i)))
+		table.RecordRemote(Use{Part: 1, Target: i}, start.Add(time.Duration(i)))
 	}
-	kept := table.Kept(prompt[:1], start)
+	kept := table.Cached(prompt[:1], start)
 	is.Equal(len(kept), 2)
 	is.True(kept[3].Tokens == 500 && kept[4].Tokens == 500)
 	for i := range uint32(50) {
-		table.Heard(Use{Part: i, Target: 1}, start)
+		table.RecordRemote(Use{Part: i, Target: 1}, start)
 	}
 	is.True(len(table.parts) <= 3)
 }
@@ -76,16 +76,16 @@
 func TestRecentUsesRestoreATable(t *testing.T) {
 	is, cfg := is.New(t), DefaultConfig()
 	table := NewTable(cfg)
-	table.Sent(9, 7, start)
+	table.RecordSent(9, 7, start)
 	later := start.Add(cfg.InUse)
-	table.Sent(1, 7, later)
-	table.Sent(2, 7, later)
+	table.RecordSent(1, 7, later)
+	table.RecordSent(2, 7, later)
 	uses := table.Recent(later, 10)
 	is.Equal(len(uses), 2) // uses older than InUse are left out
 	is.Equal(len(table.Recent(later, 1)), 1)
 	restored := NewTable(cfg)
 	for _, u := range uses {
-		restored.Heard(u, later)
+		restored.RecordRemote(u, later)
 	}
-	is.Equal(restored.Kept(prompt, later), table.Kept(prompt, later))
+	is.Equal(restored.Cached(prompt, later), table.Cached(prompt, later))
 }
--- a/placement/cold.go
+++ b/placement/cold.go
@@ -20,14 +20,14 @@
 func pickCold(cold []*Candidate, rng *rand.Rand) (c *Candidate, ok bool) {
 	total := 0
 	for _, c := range cold {
-		total += c.ColdRoom
+		total += c.ColdCapacity
 	}
 	if total == 0 {
 		return nil, false
 	}
 	at := rng.IntN(total)
 	for _, c := range cold {
-		if at -= c.ColdRoom; at < 0 {
+		if at -= c.ColdCapacity; at < 0 {
 			return c, true
 		}
 	}
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -38,12 +38,12 @@
 func TestTargetsWithRetryAfterAreNoLastResort(t *testing.T) {
 	is := is.New(t)
 	cands := pool(3)
-	cands[0].Resting, cands[1].Resting = true, true
-	cands[0].Kept, cands[0].Settled = 100, true
+	cands[0].CoolingDown, cands[1].CoolingDown = true, true
+	cands[0].CachedTokens, cands[0].Prefilled = 100, true
 	c := pick(t, cands, Request{Key: 7, Shared: 100})
 	is.Equal(c.Target.ID, "engine-2")
 	is.Equal(c.FetchFrom, nil) // serving a transfer is load as well
-	cands[2].Resting = true
+	cands[2].CoolingDown = true
 	is.Equal(len(NewService(cands, DefaultPolicy()).Eligible()), 0) // no target for admission control
 }
 
@@ -51,7 +51,7 @@
 func TestTargetsOutsideTheRegions(t *testing.T) {
 	is := is.New(t)
 	cands := pool(2)
-	cands[0].Outside, cands[0].Kept, cands[0].Settled = true, 100, true
+	cands[0].OutsideRegion, cands[0].CachedTokens, cands[0].Prefilled = true, 100, true
 	c := pick(t, cands, Request{Key: 7, Shared: 100})
 	is.Equal(c.Target.ID, "engine-1")
 	is.Equal(c.FetchFrom, nil)
@@ -70,7 +70,7 @@
 	before := pick(t, cands, Request{Key: 7}).Limit
 	cands[0].Evacuated, cands[0].Running = true, 0
 	is.True(pick(t, cands, Request{Key: 7}).Limit < before)
-	cands[0].Evacuated, cands[0].Resting = false, true
+	cands[0].Evacuated, cands[0].CoolingDown = false, true
 	is.True(pick(t, cands, Request{Key: 7}).Limit < before)
 }
 
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	cands := pool(2)
 	cands[0].Running = 20
-	cands[1].Cold, cands[1].Kept, cands[1].ColdRoom = true, 100, 5
+	cands[1].Cold, cands[1].CachedTokens, cands[1].ColdCapacity = true, 100, 5
 	for range 20 {
 		is.Equal(pick(t, cands, Request{Key: 7, Shared: 100}).Target.ID, "engine-0")
 		is.Equal(pick(t, cands, Request{}).Target.ID, "engine-0")
@@ -94,7 +94,7 @@
 	is := is.New(t)
 	cands := pool(3)
 	for i := range cands {
-		cands[i].Cold, cands[i].ColdRoom = true, i
+		cands[i].Cold, cands[i].ColdCapacity = true, i
 	}
 	seen := make(map[string]int)
 	r := rng()
@@ -105,7 +105,7 @@
 	}
 	is.Equal(seen["engine-0"], 0)
 	is.True(seen["engine-1"] > 50 && seen["engine-2"] > seen["engine-1"])
-	cands[1].ColdRoom, cands[2].ColdRoom = 0, 0
+	cands[1].ColdCapacity, cands[2].ColdCapacity = 0, 0
 	_, ok := NewService(cands, DefaultPolicy()).Pick(Request{}, r)
 	is.True(!ok)
 }
--- a/placement/leave.go
+++ b/placement/leave.go
@@ -82,7 +82,7 @@
 	running, targets := make(map[string]int), make(map[string]int)
 	for _, c := range s.eligible {
 		if !req.cachedBy(c) {
-			running[c.FailureDomain] += c.Counted
+			running[c.FailureDomain] += c.CountedByNodes
 			targets[c.FailureDomain]++
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,7 +24,7 @@
 	// Running is the number of requests in progress at the target from all nodes: the
 	// higher of Counted, the sum of the nodes' counts, and the load that the target itself
 	// reports, which may be a second old.
-	Running, Counted int
+	Running, CountedByNodes int
 	// Suspended targets get requests only when most of their service is suspended.
 	Suspended bool
 	// Unreachable targets are those to which the last connection attempt failed. They get
@@ -34,32 +34,32 @@
 	Excluded bool
 	// Leaving targets have announced in a response to this node that they shut down.
 	Leaving bool
-	// Resting targets have sent this node a Retry-After that has not yet expired.
-	Resting bool
-	// Outside targets are in a region that the request may not be sent to.
-	Outside bool
+	// CoolingDown targets have sent this node a Retry-After that has not yet expired.
+	CoolingDown bool
+	// OutsideRegion targets are in a region that the request may not be sent to.
+	OutsideRegion bool
 	// Cold targets started recently and can take few requests. A cold target gets the
 	// request only if MaySend, this node's share of its capacity, allows it. If no other
 	// target is left, it also gets the request if ColdRoom, the number of further requests
 	// a second it can take, is over 0.
 	Cold, MaySend bool
-	ColdRoom      int
+	ColdCapacity  int
 	// Own is the part of Running that this node sent.
 	Own int
 	// These apply if only a subset of a large service is passed. Biased candidates were
 	// selected because of the request, so they are left out of estimates for the whole
 	// service. Unranked ones are not among the first in the rank order of the request's key,
 	// which is the same on all nodes.
-	Biased, Unranked bool
-	// Kept is the number of the request's shared prompt tokens that the target probably
+	SelectedByRequest, Unranked bool
+	// CachedTokens is the number of the request's shared prompt tokens that the target probably
 	// caches. Settled reports that the prefill of these tokens must have finished by now.
-	Kept    int
-	Settled bool
+	CachedTokens int
+	Prefilled    bool
 }
 
-// Barred reports whether the target may not get the request even if no other target is left.
-func (c *Candidate) Barred() bool {
-	return c.Draining || c.Leaving || c.Excluded || c.Evacuated || c.Outside
+// Ineligible reports whether the target may not get the request even if no other target is left.
+func (c *Candidate) Ineligible() bool {
+	return c.Draining || c.Leaving || c.Excluded || c.Evacuated || c.OutsideRegion
 }
 
 // Request holds the properties of a request that placement depends on.
@@ -70,18 +70,18 @@
 	Shared int
 	// FailureDomain is this node's failure domain, which is preferred between equal targets.
 	FailureDomain string
-	// Waiting is the number of requests that may queue at a target, as a fraction of its slots.
-	Waiting float64
+	// QueueFactor is the number of requests that may queue at a target, as a fraction of its slots.
+	QueueFactor float64
 }
 
 // full reports whether the given slots are taken and the queue for them is full, so that
 // another request could not start in time.
 func (r Request) full(running, slots int) bool {
-	return slots > 0 && float64(running) >= float64(slots)*(1+r.Waiting)
+	return slots > 0 && float64(running) >= float64(slots)*(1+r.QueueFactor)
 }
 
 // cachedBy reports whether a target probably caches all of the request's shared parts.
-func (r Request) cachedBy(c *Candidate) bool { return r.Shared > 0 && c.Kept >= r.Shared }
+func (r Request) cachedBy(c *Candidate) bool { return r.Shared > 0 && c.CachedTokens >= r.Shared }
 
 // Policy sets the load bound.
 type Policy struct {
@@ -135,7 +135,7 @@
 	FetchFrom *roster.Target
 	// Limit is the load bound that applied, Running the load at Target and Kept the number
 	// of shared tokens that Target probably caches.
-	Limit, Running, Kept int
+	Limit, Running, CachedTokens int
 	// Fetched is the number of tokens that Target probably fetches from FetchFrom.
 	Fetched int
 	// Reason is why the request was or was not sent to a target that caches its parts.
@@ -149,8 +149,8 @@
 const (
 	// NoParts: the request has no shared parts.
 	NoParts Reason = "no_parts"
-	// Keeps: the selected target caches all parts.
-	Keeps Reason = "keeps"
+	// Cached: the selected target caches all parts.
+	Cached Reason = "keeps"
 	// FirstUse: no target is recorded as caching all parts.
 	FirstUse Reason = "first_use"
 	// OverBound: the targets that cache all parts are over the load bound or full.
@@ -164,7 +164,7 @@
 func (s Service) reason(req Request, chosen *Candidate) Reason {
 	switch {
 	case req.cachedBy(chosen):
-		return Keeps
+		return Cached
 	case slices.ContainsFunc(s.eligible, req.cachedBy):
 		return OverBound
 	case s.isCachedAnywhere(req):
@@ -211,7 +211,7 @@
 	out := eligible
 	for i := range all {
 		c := &all[i]
-		if (c.Evacuated || c.Resting) && !c.Draining && !c.Leaving {
+		if (c.Evacuated || c.CoolingDown) && !c.Draining && !c.Leaving {
 			out = append(out[:len(out):len(out)], c)
 		}
 	}
@@ -246,11 +246,11 @@
 		return Choice{Target: chosen.Target, Limit: limit, Running: chosen.Running, Reason: NoParts}, true
 	}
 	choice := Choice{
-		Target: chosen.Target, Limit: limit, Running: chosen.Running, Kept: chosen.Kept,
+		Target: chosen.Target, Limit: limit, Running: chosen.Running, CachedTokens: chosen.CachedTokens,
 		Reason: s.reason(req, chosen),
 	}
 	if from, ok := fetchSource(s.all, chosen); ok {
-		choice.FetchFrom, choice.Fetched = from.Target, from.Kept-chosen.Kept
+		choice.FetchFrom, choice.Fetched = from.Target, from.CachedTokens-chosen.CachedTokens
 	}
 	return choice, true
 }
@@ -269,7 +269,7 @@
 	for i := range cands {
 		c := &cands[i]
 		switch {
-		case c.Barred() || c.Resting:
+		case c.Ineligible() || c.CoolingDown:
 		case c.Fallback:
 			fallback = append(fallback, c)
 		default:
@@ -324,8 +324,8 @@
 func meanLoad(cands []*Candidate) float64 {
 	total, sampled := 0, 0
 	for _, c := range cands {
-		if !c.Biased {
-			total += c.Counted
+		if !c.SelectedByRequest {
+			total += c.CountedByNodes
 			sampled++
 		}
 	}
@@ -367,7 +367,7 @@
 func allFull(cands []*Candidate, req Request) bool {
 	running, slots := 0, 0
 	for _, c := range cands {
-		if !c.Biased {
+		if !c.SelectedByRequest {
 			running += c.Running
 			slots += c.Slots
 		}
@@ -438,14 +438,14 @@
 	most := -1
 	for i := range cands {
 		c := &cands[i]
-		if c.Suspended || c.Resting || c.Outside || !c.Settled || c.Target == chosen.Target {
+		if c.Suspended || c.CoolingDown || c.OutsideRegion || !c.Prefilled || c.Target == chosen.Target {
 			continue
 		}
-		if most < 0 || c.Kept > cands[most].Kept {
+		if most < 0 || c.CachedTokens > cands[most].CachedTokens {
 			most = i
 		}
 	}
-	if most < 0 || cands[most].Kept < chosen.Kept+minFetch {
+	if most < 0 || cands[most].CachedTokens < chosen.CachedTokens+minFetch {
 		return nil, false
 	}
 	return &cands[most], true
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -27,14 +27,14 @@
 // pickCounted picks with Counted set to Running wherever a test has not set it.
 func pickCounted(cands []Candidate, req Request, p Policy, rng *rand.Rand) (Choice, bool) {
 	for i := range cands {
-		if cands[i].Counted <= 0 {
-			cands[i].Counted = cands[i].Running
+		if cands[i].CountedByNodes <= 0 {
+			cands[i].CountedByNodes = cands[i].Running
 		}
 	}
 	c, ok := NewService(cands, p).Pick(req, rng)
 	for i := range cands {
-		if cands[i].Counted == cands[i].Running {
-			cands[i].Counted = 0
+		if cands[i].CountedByNodes == cands[i].Running {
+			cands[i].CountedByNodes = 0
 		}
 	}
 	return c, ok
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func setCached(c *Candidate, tokens int) { c.Kept, c.Settled = tokens, true }
+func setCached(c *Candidate, tokens int) { c.CachedTokens, c.Prefilled = tokens, true }
 
 // A key whose target is full or draining gets its copy in the same failure domain, where the
 // transfer is shortest. If no target there has room, the copy goes to another domain.
@@ -148,7 +148,7 @@
 	home := pick(t, cands, req).Target
 	for i := range cands {
 		if cands[i].Target != home {
-			cands[i].Kept = 1000 // the request was just sent there
+			cands[i].CachedTokens = 1000 // the request was just sent there
 			is.Equal(pick(t, cands, req).Target, cands[i].Target)
 			break
 		}
@@ -361,9 +361,9 @@
 	cands[2].Running = 8
 	req := Request{Key: 7, Shared: 1000}
 	is.True(pick(t, cands, req).Target != cands[2].Target)
-	req.Waiting = 0.5
+	req.QueueFactor = 0.5
 	is.Equal(pick(t, cands, req).Target, cands[2].Target)
-	req.Waiting = 0
+	req.QueueFactor = 0
 	for i := range cands {
 		cands[i].Running = 8
 	}
@@ -375,7 +375,7 @@
 func TestLimitGoesByCounts(t *testing.T) {
 	is, cands := is.New(t), pool(6)
 	for i := range cands {
-		cands[i].Running, cands[i].Counted = 14, 7
+		cands[i].Running, cands[i].CountedByNodes = 14, 7
 	}
 	c := pick(t, cands, Request{Key: 7})
 	is.True(c.Limit <= 2*7+3)
@@ -393,7 +393,7 @@
 	}{
 		{"no parts", func(*Candidate) {}, withoutParts, NoParts},
 		{"not cached", func(*Candidate) {}, withParts, FirstUse},
-		{"cached", func(h *Candidate) { setCached(h, 1000) }, withParts, Keeps},
+		{"cached", func(h *Candidate) { setCached(h, 1000) }, withParts, Cached},
 		{"over the bound", func(h *Candidate) { setCached(h, 1000); h.Running = 20 }, withParts, OverBound},
 		{"draining", func(h *Candidate) { setCached(h, 1000); h.Draining = true }, withParts, HolderUnavailable},
 		{"tried", func(h *Candidate) { setCached(h, 1000); h.Excluded = true }, withParts, HolderUnavailable},
--- a/placement/sim_exchange_test.go
+++ b/placement/sim_exchange_test.go
@@ -55,7 +55,7 @@
 		return
 	}
 	for _, u := range a.Report.Uses {
-		to.parts.Heard(u, simTime(tick))
+		to.parts.RecordRemote(u, simTime(tick))
 	}
 }
 
@@ -111,7 +111,7 @@
 				to := s.members[n.nextPeer]
 				to.view.Receive(r, simTime(tick))
 				for _, u := range r.Uses {
-					to.parts.Heard(u, simTime(tick))
+					to.parts.RecordRemote(u, simTime(tick))
 				}
 			}
 		}
--- a/placement/sim_test.go
+++ b/placement/sim_test.go
@@ -257,7 +257,7 @@
 
 func (s *sim) candidates(n *simNode, parts []affinity.Part, tick int) []Candidate {
 	const reportedMaxAge = 1000 // ticks
-	kept := n.parts.Kept(parts, simTime(tick))
+	kept := n.parts.Cached(parts, simTime(tick))
 	out := s.cands[:0]
 	for i, t := range s.engines {
 		if t.gone {
@@ -269,8 +269,8 @@
 		}
 		holding := kept[uint32(t.Hash)]
 		out = append(out, Candidate{
-			Target: t.Target, Running: max(counted, reported), Counted: counted,
-			Kept: holding.Tokens, Settled: holding.Settled,
+			Target: t.Target, Running: max(counted, reported), CountedByNodes: counted,
+			CachedTokens: holding.Tokens, Prefilled: holding.Prefilled,
 		})
 	}
 	return out
@@ -280,7 +280,7 @@
 func (s *sim) pick(cands []Candidate, req Request) Choice {
 	service := NewService(cands, PolicyFor(s.age()))
 	c, _ := service.Pick(req, s.rng)
-	if s.spill == nil || c.Reason == Keeps || c.Reason == FirstUse {
+	if s.spill == nil || c.Reason == Cached || c.Reason == FirstUse {
 		return c
 	}
 	var available []*Candidate
@@ -304,14 +304,14 @@
 func (s *sim) send(tick int, key simKey, node int, surging bool) (over bool) {
 	k, n := s.kinds[key.kind], s.members[node]
 	parts := []affinity.Part{{Hash: key.hash, Tokens: k.tokens}}
-	req := Request{Key: key.hash, Shared: k.tokens, FailureDomain: n.domain, Waiting: s.waiting}
+	req := Request{Key: key.hash, Shared: k.tokens, FailureDomain: n.domain, QueueFactor: s.waiting}
 	c := s.pick(s.candidates(n, parts, tick), req)
 	at := s.targetIndex[c.Target.ID]
 	t := s.engines[at]
 	over = t.inProgress*s.remaining > 2*s.inProgress+3*s.remaining
 	s.record(c, key, t.inProgress, surging)
 	s.sent[[2]uint64{key.hash, t.Hash}], s.read[key.hash] = true, true
-	if n.parts.Sent(key.hash, uint32(t.Hash), simTime(tick)) {
+	if n.parts.RecordSent(key.hash, uint32(t.Hash), simTime(tick)) {
 		n.uses = append(n.uses, affinity.Use{Part: uint32(key.hash), Target: uint32(t.Hash)})
 		n.usesAt = append(n.usesAt, tick)
 	}
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -67,7 +67,7 @@
 	if d = p.gate(crit.service).Admit(crit.request, load, now); !d.Admitted() {
 		return assignment{}, d, false
 	}
-	req := placement.Request{FailureDomain: p.domain, Waiting: d.Waiting, Key: crit.key()}
+	req := placement.Request{FailureDomain: p.domain, QueueFactor: d.Waiting, Key: crit.key()}
 	for _, part := range crit.parts {
 		req.Shared += part.Tokens
 	}
@@ -107,13 +107,13 @@
 	for _, c := range p.evaluateAll(crit, p.now()).All() {
 		switch {
 		case c.Draining || c.Leaving || c.Excluded:
-		case c.Resting && !c.Outside && !c.Evacuated:
+		case c.CoolingDown && !c.OutsideRegion && !c.Evacuated:
 			return errResting
-		case c.Cold && !c.Outside && !c.Evacuated:
+		case c.Cold && !c.OutsideRegion && !c.Evacuated:
 			return errCold
-		case c.Evacuated && !c.Outside:
+		case c.Evacuated && !c.OutsideRegion:
 			why = errEvacuated
-		case c.Outside && !errors.Is(why, errEvacuated):
+		case c.OutsideRegion && !errors.Is(why, errEvacuated):
 			why = errOutside
 		}
 	}
--- a/router/evaluate.go
+++ b/router/evaluate.go
@@ -45,7 +45,7 @@
 	if s == nil || len(s.list) <= p.fullScanLimit {
 		return p.evaluateAll(crit, now)
 	}
-	kept := p.parts.Kept(crit.parts, now)
+	kept := p.parts.Cached(crit.parts, now)
 	p.candidates.begin()
 	for _, m := range s.sample(sampleSize, p.rng) {
 		p.candidates.add(m, false, true)
@@ -78,7 +78,7 @@
 			p.candidates.add(m, false, false)
 		}
 	}
-	return p.newEvaluation(s, crit, p.parts.Kept(crit.parts, now), now)
+	return p.newEvaluation(s, crit, p.parts.Cached(crit.parts, now), now)
 }
 
 func (p *pool) newEvaluation(s *serviceMembers, crit criteria, kept map[uint32]affinity.Holding, now time.Time) evaluation {
@@ -91,20 +91,20 @@
 		holding := kept[uint32(m.target.RunHash())]
 		counted := m.running + sums[i].Running
 		cands[i] = placement.Candidate{
-			Target:      m.target,
-			Running:     max(counted, m.reportedLoad(now)),
-			Counted:     counted,
-			Own:         m.running,
-			Biased:      m.biased,
-			Unranked:    m.unranked,
-			Suspended:   m.state.Suspended(now) || sums[i].Unreachable >= unreachableQuorum,
-			Unreachable: m.state.Unreachable(),
-			Excluded:    crit.excludes(m.target.ID),
-			Leaving:     m.notices.Leaving(),
-			Resting:     m.notices.InCooldown(now),
-			Outside:     !crit.regions.Allow(p.regionOf[m.target.FailureDomain]),
-			Kept:        holding.Tokens,
-			Settled:     holding.Settled,
+			Target:            m.target,
+			Running:           max(counted, m.reportedLoad(now)),
+			CountedByNodes:    counted,
+			Own:               m.running,
+			SelectedByRequest: m.biased,
+			Unranked:          m.unranked,
+			Suspended:         m.state.Suspended(now) || sums[i].Unreachable >= unreachableQuorum,
+			Unreachable:       m.state.Unreachable(),
+			Excluded:          crit.excludes(m.target.ID),
+			Leaving:           m.notices.Leaving(),
+			CoolingDown:       m.notices.InCooldown(now),
+			OutsideRegion:     !crit.regions.Allow(p.regionOf[m.target.FailureDomain]),
+			CachedTokens:      holding.Tokens,
+			Prefilled:         holding.Prefilled,
 		}
 		if !m.biased {
 			o.sampled++
@@ -178,7 +178,7 @@
 func (o evaluation) load(nodes int, age time.Duration) overload.Load {
 	l := overload.Load{Nodes: nodes, Age: age}
 	for _, c := range o.Eligible() {
-		if c.Biased {
+		if c.SelectedByRequest {
 			continue
 		}
 		l.Running += c.Running
--- a/router/forward.go
+++ b/router/forward.go
@@ -168,7 +168,7 @@
 	x.completed = false
 	x.sentAt = x.router.now()
 	x.summary.target, x.summary.running, x.summary.limit = a.target.ID, a.choice.Running, a.choice.Limit
-	x.summary.kept, x.summary.reason = a.choice.Kept, a.choice.Reason
+	x.summary.kept, x.summary.reason = a.choice.CachedTokens, a.choice.Reason
 	x.router.metrics.countPartTokens(a.choice, x.sharedTokens())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -209,7 +209,7 @@
 			if float64(running[l.target.ID]) > 2*load+3 {
 				out.over++
 			}
-			if l.choice.Reason == placement.Keeps {
+			if l.choice.Reason == placement.Cached {
 				out.kept++
 			}
 			out.worst = max(out.worst, float64(running[l.target.ID])/load)
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -63,7 +63,7 @@
 // countPartTokens counts the shared tokens that the chosen target lacks: those that it fetches
 // from another target and those that it reads from the prompt.
 func (m *metrics) countPartTokens(c placement.Choice, shared int) {
-	if read := shared - c.Kept - c.Fetched; read > 0 {
+	if read := shared - c.CachedTokens - c.Fetched; read > 0 {
 		m.partTokens.WithLabelValues("read", string(c.Reason)).Add(float64(read))
 	}
 	if c.Fetched > 0 {
--- a/router/notices.go
+++ b/router/notices.go
@@ -50,10 +50,10 @@
 	now := p.now()
 	var shortest time.Duration
 	for _, c := range p.evaluateAll(crit, now).All() {
-		if c.Barred() {
+		if c.Ineligible() {
 			continue
 		}
-		if !c.Resting {
+		if !c.CoolingDown {
 			return 0
 		}
 		if rest := p.members[c.ID].notices.CooldownLeft(now); shortest == 0 || rest < shortest {
--- a/router/pool.go
+++ b/router/pool.go
@@ -259,7 +259,7 @@
 func (p *pool) recordSentParts(parts []affinity.Part, t *roster.Target, now time.Time) {
 	run := uint32(t.RunHash())
 	for _, part := range parts {
-		if p.parts.Sent(part.Hash, run, now) && len(p.pending) < maxUsesPerReport {
+		if p.parts.RecordSent(part.Hash, run, now) && len(p.pending) < maxUsesPerReport {
 			p.pending = append(p.pending, pendingUse{affinity.Use{Part: uint32(part.Hash), Target: run}, now})
 		}
 	}
@@ -288,7 +288,7 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	for _, u := range uses {
-		p.parts.Heard(u, now)
+		p.parts.RecordRemote(u, now)
 	}
 }
 
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -93,7 +93,7 @@
 }
 
 // settle advances the time until the targets have read what they were sent.
-func (p *testPool) settle() { p.clock = p.clock.Add(affinity.DefaultConfig().Settle) }
+func (p *testPool) settle() { p.clock = p.clock.Add(affinity.DefaultConfig().PrefillTime) }
 
 // candidateOf returns the values that placement would use for a target.
 func (p *testPool) candidateOf(id string) (kept, running int, suspended bool) {
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	for _, c := range p.evaluateAll(criteria{service: service, parts: prompt}, p.now()).All() {
 		if c.ID == id {
-			return c.Kept, c.Running, c.Suspended
+			return c.CachedTokens, c.Running, c.Suspended
 		}
 	}
 	return 0, 0, false
--- a/router/warmup.go
+++ b/router/warmup.go
@@ -24,7 +24,7 @@
 	p.fleet.Targets([]uint64{arrivalsHash(m)}, func(_ int, s heartbeat.Sum) { others = s.Running })
 	c.Cold = true
 	c.MaySend = m.warmUp.May(l, p.fleet.Known(), others, now)
-	c.ColdRoom = m.warmUp.Room(l, others, now)
+	c.ColdCapacity = m.warmUp.Room(l, others, now)
 }
 
 // arrivalsHash identifies, in the list of targets of a report, the number of requests that a
