--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -33,7 +33,7 @@
 		DialTimeout: dialTimeout, KeepAlive: targetKeepAlive,
 	}
 	fresh := cfg
-	fresh.Fresh = true
+	fresh.NewConnPerRequest = true
 	return clients{pooled: upstream.New(cfg), fresh: upstream.New(fresh)}
 }
 
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -79,7 +79,7 @@
 			c.held = fail.response
 		}
 		verdict := g.decide(ctx, f, number, fail)
-		if verdict != retry.Again {
+		if verdict != retry.Allow {
 			return g.giveUp(ctx, c, refusal(fail, verdict))
 		}
 		g.metrics.retries.WithLabelValues(string(fail.reason)).Inc()
@@ -98,7 +98,7 @@
 		retry.Attempt{Number: number, Progress: fail.progress, Repeatable: f.repeatable, Remaining: remaining(ctx, now)},
 		retry.Limits{MaxAttempts: g.cfg.MaxAttempts, MinRemaining: retryMinRemaining},
 	)
-	if verdict == retry.Again && retry.Charged(fail.progress) && !g.budget.Take(now) {
+	if verdict == retry.Allow && retry.DrawsOnBudget(fail.progress) && !g.budget.Take(now) {
 		return retry.BudgetEmpty
 	}
 	return verdict
--- a/lab/measure/retries/retries.go
+++ b/lab/measure/retries/retries.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		failed := retry.Attempt{Number: a.number, Progress: retry.Sent, Repeatable: true, Remaining: retry.NoDeadline}
-		if retry.Decide(failed, limits) != retry.Again {
+		if retry.Decide(failed, limits) != retry.Allow {
 			continue
 		}
 		if !budgets[a.node].Take(a.at) {
--- a/lab/measure/retries/suspension.go
+++ b/lab/measure/retries/suspension.go
@@ -223,7 +223,7 @@
 
 func (s *cells) again(e *event) {
 	failed := retry.Attempt{Number: e.number, Progress: retry.Sent, Repeatable: true, Remaining: retry.NoDeadline}
-	if retry.Decide(failed, retry.Limits{MaxAttempts: maxAttempts}) != retry.Again || !s.budgets[e.node].Take(e.at) {
+	if retry.Decide(failed, retry.Limits{MaxAttempts: maxAttempts}) != retry.Allow || !s.budgets[e.node].Take(e.at) {
 		return
 	}
 	backoff := retry.Backoff{Base: baseBackoff, Max: maxBackoff}
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -27,9 +27,9 @@
 	TargetLatency time.Duration
 	// Remaining is the time until the caller's deadline, 0 for no deadline.
 	Remaining time.Duration
-	// Begun reports whether a target has already started on the request and it continues at
+	// Started reports whether a target has already started on the request and it continues at
 	// another one. Such a request is never rejected, since the work done so far would be lost.
-	Begun bool
+	Started bool
 }
 
 // Load is the load of all nodes together on those targets of a service that may receive
@@ -51,8 +51,8 @@
 const (
 	// None means that the request is admitted.
 	None Reason = iota
-	// Full means that the service has no capacity for requests of this priority.
-	Full
+	// OverCapacity means that the service has no capacity for requests of this priority.
+	OverCapacity
 	// Surging means that the workspace sends much more than its usual share while the service
 	// is short of capacity.
 	Surging
@@ -72,9 +72,9 @@
 	Estimate float64
 	// Late reports whether the caller has retried too late to be answered on time.
 	Late bool
-	// Waiting is the number of requests like this one that may wait at a target, relative to
+	// QueuePerSlot is the number of requests like this one that may wait at a target, relative to
 	// its slots.
-	Waiting float64
+	QueuePerSlot float64
 }
 
 // Queued reports whether a request, if admitted, has to wait for a slot.
@@ -176,13 +176,13 @@
 
 // Admit decides whether a request may be sent to a target now.
 func (g *Gate) Admit(r Request, l Load, now time.Time) Decision {
-	d := Decision{Load: l, Estimate: g.estimateRunning(l, now), Waiting: g.queuePerSlot(r.TargetLatency)}
-	if r.Begun {
+	d := Decision{Load: l, Estimate: g.estimateRunning(l, now), QueuePerSlot: g.queuePerSlot(r.TargetLatency)}
+	if r.Started {
 		return d
 	}
 	kind, workspace := g.counters(r, now)
 	if l.Slots > 0 {
-		d.Utilization = d.Estimate / (float64(l.Slots) * (1 + d.Waiting))
+		d.Utilization = d.Estimate / (float64(l.Slots) * (1 + d.QueuePerSlot))
 	}
 	surging := g.isSurging(workspace)
 	d.Late = kind.isLate(r, g.cfg.LateFraction)
@@ -198,7 +198,7 @@
 		g.startRate.add(now)
 		return d
 	}
-	d.Reason = Full
+	d.Reason = OverCapacity
 	if surging {
 		d.Reason = Surging
 	}
@@ -207,9 +207,9 @@
 	return d
 }
 
-// Answered records that a request was answered after it was in progress for held. queued
+// RecordEnd records that a request was answered after it was in progress for held. queued
 // reports whether it had to wait for a slot.
-func (g *Gate) Answered(held time.Duration, queued bool) {
+func (g *Gate) RecordEnd(held time.Duration, queued bool) {
 	g.occupancy.observe(held.Seconds())
 	if !queued {
 		g.serviceTime.observe(held.Seconds())
@@ -272,7 +272,7 @@
 		return 0
 	}
 	width := g.cfg.MaxRamp * min(l.Age.Seconds()/g.occupancy.mean, 1)
-	return max(min(width, d.Limit-noRejectionBelow/(1+d.Waiting)), 0)
+	return max(min(width, d.Limit-noRejectionBelow/(1+d.QueuePerSlot)), 0)
 }
 
 // defaultQueuePerSlot is the queue length per slot of a gate that has not seen any request end
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -181,13 +181,13 @@
 		{"nearly full, urgent", Request{}, Load{Running: 96, Slots: 100}, true},
 		{"nearly full, less urgent", Request{Priority: 1}, Load{Running: 96, Slots: 100}, false},
 		{"the lowest rank keeps most", Request{Priority: 9}, Load{Running: 79, Slots: 100}, true},
-		{"started at another target", Request{Begun: true}, Load{Running: 99, Slots: 10}, true},
+		{"started at another target", Request{Started: true}, Load{Running: 99, Slots: 10}, true},
 		{"priority below zero", Request{Priority: -1}, Load{Running: 99, Slots: 100}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
-			g.Answered(time.Second, false)
+			g.RecordEnd(time.Second, false)
 			is.New(t).Equal(g.Admit(tt.r, tt.l, now).Admitted(), tt.admitted)
 		})
 	}
@@ -198,7 +198,7 @@
 func TestLateCallersHaveALowerLimit(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
-	g.Answered(time.Hour, false) // almost no requests may wait
+	g.RecordEnd(time.Hour, false) // almost no requests may wait
 	now := time.Unix(1000, 0)
 	r := Request{Class: "a", TargetLatency: 400 * time.Millisecond, Remaining: 10 * time.Second}
 	crowded, room := Load{Running: 89, Slots: 100}, Load{Running: 70, Slots: 100}
@@ -219,7 +219,7 @@
 	is := is.New(t)
 	g := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
 	for range 100 {
-		g.Answered(100*time.Millisecond, false)
+		g.RecordEnd(100*time.Millisecond, false)
 	}
 	now, r := time.Unix(1000, 0), Request{TargetLatency: 300 * time.Millisecond}
 	fresh := NewGate(DefaultConfig(), rand.New(rand.NewPCG(1, 2)))
--- a/overload/sim_test.go
+++ b/overload/sim_test.go
@@ -73,7 +73,7 @@
 	for tick := range ticks {
 		now := start.Add(time.Duration(tick) * time.Millisecond)
 		for _, r := range ends[tick] {
-			gates[r.node].Answered(time.Duration(tick-r.arrived)*time.Millisecond, r.queued)
+			gates[r.node].RecordEnd(time.Duration(tick-r.arrived)*time.Millisecond, r.queued)
 			inFlight[r.node]--
 			running = slices.Delete(running, 0, 1)
 		}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -45,8 +45,8 @@
 
 // The verdicts.
 const (
-	// Again allows another attempt.
-	Again Verdict = iota
+	// Allow allows another attempt.
+	Allow Verdict = iota
 	// NotRepeatable means that the target may have run a request that must not run twice.
 	NotRepeatable
 	// AlreadyDelivered means that part of the response has reached the caller.
@@ -72,10 +72,10 @@
 	case a.Remaining < l.MinRemaining:
 		return DeadlineNear
 	default:
-		return Again
+		return Allow
 	}
 }
 
-// Charged reports whether a retry after p draws on the budget. An attempt that never reached a
+// DrawsOnBudget reports whether a retry after p draws on the budget. An attempt that never reached a
 // target put no load on it, so only the maximum number of attempts limits such retries.
-func Charged(p Progress) bool { return p != NotSent }
+func DrawsOnBudget(p Progress) bool { return p != NotSent }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -18,15 +18,15 @@
 		a    Attempt
 		want Verdict
 	}{
-		{"not sent, repeatable", Attempt{1, NotSent, true, enough}, Again},
-		{"not sent, unrepeatable", Attempt{1, NotSent, false, enough}, Again},
-		{"refused, repeatable", Attempt{1, Refused, true, enough}, Again},
-		{"refused, unrepeatable", Attempt{1, Refused, false, enough}, Again},
-		{"sent, repeatable", Attempt{1, Sent, true, enough}, Again},
+		{"not sent, repeatable", Attempt{1, NotSent, true, enough}, Allow},
+		{"not sent, unrepeatable", Attempt{1, NotSent, false, enough}, Allow},
+		{"refused, repeatable", Attempt{1, Refused, true, enough}, Allow},
+		{"refused, unrepeatable", Attempt{1, Refused, false, enough}, Allow},
+		{"sent, repeatable", Attempt{1, Sent, true, enough}, Allow},
 		{"sent, unrepeatable", Attempt{1, Sent, false, enough}, NotRepeatable},
 		{"delivered, repeatable", Attempt{1, Delivered, true, enough}, AlreadyDelivered},
 		{"delivered, unrepeatable", Attempt{1, Delivered, false, enough}, AlreadyDelivered},
-		{"no deadline", Attempt{2, Sent, true, NoDeadline}, Again},
+		{"no deadline", Attempt{2, Sent, true, NoDeadline}, Allow},
 		{"last attempt", Attempt{3, NotSent, true, enough}, AttemptsUsed},
 		{"deadline near", Attempt{1, Refused, true, near}, DeadlineNear},
 		{"deadline passed", Attempt{1, Refused, true, -enough}, DeadlineNear},
@@ -55,7 +55,7 @@
 			MaxAttempts:  rapid.IntRange(1, 9).Draw(t, "attempts"),
 			MinRemaining: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "min")),
 		}
-		if Decide(a, l) != Again {
+		if Decide(a, l) != Allow {
 			return
 		}
 		unsafeRetry := a.Progress == Delivered || a.Progress == Sent && !a.Repeatable
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -67,7 +67,7 @@
 	if d = p.gate(crit.service).Admit(crit.request, load, now); !d.Admitted() {
 		return assignment{}, d, false
 	}
-	req := placement.Request{FailureDomain: p.domain, QueueFactor: d.Waiting, Key: crit.key()}
+	req := placement.Request{FailureDomain: p.domain, QueueFactor: d.QueuePerSlot, Key: crit.key()}
 	for _, part := range crit.parts {
 		req.Shared += part.Tokens
 	}
@@ -82,7 +82,7 @@
 	m.running++
 	m.markReportable()
 	if m.warmUp != nil {
-		m.warmUp.Send(now)
+		m.warmUp.RecordSent(now)
 	}
 	p.recordSentParts(crit.parts, c.Target, now)
 	return assignment{member: m, choice: c, target: c.Target, service: crit.service, since: now, queued: d.Queued()}, d, true
@@ -144,7 +144,7 @@
 	defer p.mu.Unlock()
 	a.member.running--
 	if answered {
-		p.gate(a.service).Answered(p.now().Sub(a.since), a.queued)
+		p.gate(a.service).RecordEnd(p.now().Sub(a.since), a.queued)
 	}
 	if a.member.gone && a.member.running == 0 {
 		a.member.closeIdle()
--- a/router/forward.go
+++ b/router/forward.go
@@ -84,7 +84,7 @@
 			return nil
 		}
 		verdict := x.decide(ctx, fail)
-		if verdict != retry.Again {
+		if verdict != retry.Allow {
 			return x.conclude(ctx, fail, verdict)
 		}
 		x.logRetry(a, fail)
@@ -117,7 +117,7 @@
 		service: x.service, parts: x.parts(), tried: x.tried, regions: x.regions,
 		request: overload.Request{
 			Class: x.route.Name, Workspace: x.workspace, Priority: x.priority,
-			TargetLatency: x.route.TargetLatency, Remaining: x.call.Deadline, Begun: x.answerBegun || x.executions > 0,
+			TargetLatency: x.route.TargetLatency, Remaining: x.call.Deadline, Started: x.answerBegun || x.executions > 0,
 		},
 	}
 }
@@ -152,7 +152,7 @@
 		retry.Attempt{Number: x.executions, Progress: fail.progress, Repeatable: x.route.Repeatable(), Remaining: left},
 		retry.Limits{MaxAttempts: max(x.route.MaxAttempts, 1), MinRemaining: minRemaining},
 	)
-	if verdict == retry.Again && retry.Charged(fail.progress) && !x.retryReserved.Swap(false) &&
+	if verdict == retry.Allow && retry.DrawsOnBudget(fail.progress) && !x.retryReserved.Swap(false) &&
 		!x.router.window(x.service).Take(x.router.now(), x.router.fleet.Lives()) {
 		return retry.BudgetEmpty
 	}
@@ -247,7 +247,7 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header:        make(http.Header, len(x.req.Header)+4),
 		ContentLength: int64(len(x.body)),
-		Body:          upstream.NoReplay(bytes.NewReader(x.body)),
+		Body:          upstream.NonReplayableBody(bytes.NewReader(x.body)),
 	}
 	left, _ := x.remaining()
 	s := Send{
--- a/router/pool.go
+++ b/router/pool.go
@@ -90,7 +90,7 @@
 	// notices is the state announced by the target itself, nil for none.
 	notices *notice.State
 	// warmUp limits what this node sends to a cold target; nil for warm ones.
-	warmUp *warmup.Sender
+	warmUp *warmup.RateShare
 	// suspects are the requests whose connection the target closed since it last accepted one,
 	// oldest first. probe is closed when the current probe ends, nil if there is none.
 	suspects []quarantine.Suspect
@@ -159,7 +159,7 @@
 	}
 	m.connections.CompareAndSwap(nil, upstream.New(upstream.Config{
 		MaxIdle: idlePerTarget, IdleTimeout: idleTimeout,
-		DialTimeout: dialTimeout, Unacked: unackedTimeout, KeepAlive: keepAlive,
+		DialTimeout: dialTimeout, UnackedTimeout: unackedTimeout, KeepAlive: keepAlive,
 	}))
 	return m.connections.Load()
 }
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -31,7 +31,7 @@
 func (x *exchange) noTargetFailure(d overload.Decision) *failure {
 	f := &failure{reason: problem.NoTarget, retryAfter: d.RetryAfter}
 	switch d.Reason {
-	case overload.Full:
+	case overload.OverCapacity:
 		f.reason = problem.Saturated
 	case overload.Surging:
 		f.reason = problem.WorkspaceLimit
@@ -40,7 +40,7 @@
 		return f
 	}
 	f.cause = errors.Newf("%.2f of the places are taken, limit %.2f: running %.0f, counted %d, own %d, slots %d, may wait %.2f a slot",
-		d.Utilization, d.Limit, d.Estimate, d.Load.Running, d.Load.Own, d.Load.Slots, d.Waiting)
+		d.Utilization, d.Limit, d.Estimate, d.Load.Running, d.Load.Own, d.Load.Slots, d.QueuePerSlot)
 	return f
 }
 
--- a/router/warmup.go
+++ b/router/warmup.go
@@ -12,7 +12,7 @@
 // warmUp sets the limits of a target that may be cold, just after its start. The caller must
 // hold p.mu.
 func (p *pool) warmUp(c *placement.Candidate, m *member, l warmup.Limit, now time.Time) {
-	if l.PerSecond <= 0 || !m.target.IsCold(l.For, now) {
+	if l.PerSecond <= 0 || !m.target.IsCold(l.Duration, now) {
 		m.warmUp = nil
 		return
 	}
@@ -23,8 +23,8 @@
 	others := 0
 	p.fleet.Targets([]uint64{arrivalsHash(m)}, func(_ int, s heartbeat.Sum) { others = s.Running })
 	c.Cold = true
-	c.MaySend = m.warmUp.May(l, p.fleet.Known(), others, now)
-	c.ColdCapacity = m.warmUp.Room(l, others, now)
+	c.MaySend = m.warmUp.Allow(l, p.fleet.Known(), others, now)
+	c.ColdCapacity = m.warmUp.Remaining(l, others, now)
 }
 
 // arrivalsHash identifies, in the list of targets of a report, the number of requests that a
@@ -40,7 +40,7 @@
 	if m.warmUp == nil {
 		return nil
 	}
-	sent := m.warmUp.LastSecond(now)
+	sent := m.warmUp.SentLastSecond(now)
 	if sent == 0 {
 		return nil
 	}
--- a/router/warmup_test.go
+++ b/router/warmup_test.go
@@ -13,7 +13,7 @@
 // The tests guard against overloading targets that have just started: they look idle, so all
 // nodes sent requests to them at once, and their cold time was not taken into account.
 
-var coldLimit = warmup.Limit{PerSecond: 4, For: 3 * time.Second}
+var coldLimit = warmup.Limit{PerSecond: 4, Duration: 3 * time.Second}
 
 // newColdTargetPool returns a pool of two targets, of which the second is cold for two seconds.
 func newColdTargetPool() *testPool {
@@ -95,14 +95,14 @@
 	is.Equal(p.sentTo("b", 20), 0)
 	evacuate(nil)
 	is.True(p.sentTo("b", 20) <= 1)
-	p.clock = p.clock.Add(coldLimit.For)
+	p.clock = p.clock.Add(coldLimit.Duration)
 	is.True(p.sentTo("b", 20) > 1)
 }
 
 func TestServiceWithoutALimitIsNeverCold(t *testing.T) {
 	is := is.New(t)
 	p := newColdTargetPool()
-	p.warmUpOf = func(string) warmup.Limit { return warmup.Limit{For: time.Minute} }
+	p.warmUpOf = func(string) warmup.Limit { return warmup.Limit{Duration: time.Minute} }
 	is.True(p.sentTo("b", 40) > 5)
 }
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -23,17 +23,17 @@
 
 // Config configures the connections of a Client.
 type Config struct {
-	// Fresh means that each request gets a new connection.
-	Fresh bool
+	// NewConnPerRequest means that each request gets a new connection.
+	NewConnPerRequest bool
 	// MaxIdle is the maximum number of idle connections to one target, IdleTimeout how long
 	// each is kept.
 	MaxIdle     int
 	IdleTimeout time.Duration
 	DialTimeout time.Duration
-	// Unacked is how long sent bytes may stay unacknowledged; 0 for the operating system's
+	// UnackedTimeout is how long sent bytes may stay unacknowledged; 0 for the operating system's
 	// limit.
-	Unacked   time.Duration
-	KeepAlive net.KeepAliveConfig
+	UnackedTimeout time.Duration
+	KeepAlive      net.KeepAliveConfig
 }
 
 // Client sends requests to targets. The transport of net/http retries some requests on its own
@@ -46,8 +46,8 @@
 // New returns a client.
 func New(c Config) *Client {
 	d := &net.Dialer{Timeout: c.DialTimeout, KeepAliveConfig: c.KeepAlive}
-	if c.Unacked > 0 {
-		d.Control = socket.UnackedTimeout(c.Unacked)
+	if c.UnackedTimeout > 0 {
+		d.Control = socket.UnackedTimeout(c.UnackedTimeout)
 	}
 	return &Client{&http.Client{
 		Transport: &http.Transport{
@@ -61,7 +61,7 @@
 			MaxIdleConnsPerHost: c.MaxIdle,
 			IdleConnTimeout:     c.IdleTimeout,
 			DisableCompression:  true,
-			DisableKeepAlives:   c.Fresh,
+			DisableKeepAlives:   c.NewConnPerRequest,
 		},
 		// Redirects are not followed: they are answers of the target like any other.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -71,8 +71,8 @@
 // CloseIdle closes the connections that are not in use.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// NoReplay wraps the body of a request so that the transport cannot repeat the request.
-func NoReplay(body io.Reader) io.ReadCloser { return io.NopCloser(readerOnly{body}) }
+// NonReplayableBody wraps the body of a request so that the transport cannot repeat the request.
+func NonReplayableBody(body io.Reader) io.ReadCloser { return io.NopCloser(readerOnly{body}) }
 
 type readerOnly struct{ io.Reader }
 
--- a/warmup/sim_test.go
+++ b/warmup/sim_test.go
@@ -39,7 +39,7 @@
 	cacheReportDelay = 500 * time.Millisecond
 )
 
-var simLimit = Limit{PerSecond: 18, For: 3 * time.Second}
+var simLimit = Limit{PerSecond: 18, Duration: 3 * time.Second}
 
 // strategy is the way in which nodes send to cold targets.
 type strategy struct {
@@ -96,7 +96,7 @@
 
 type simNode struct {
 	cut        bool
-	senders    []*Sender // of the cold targets
+	senders    []*RateShare // of the cold targets
 	reported   []int
 	nextReport time.Duration
 }
@@ -135,7 +135,7 @@
 	}
 	s.addNodes()
 	s.addKeys()
-	for now := time.Duration(0); now < simLimit.For; now += simTick {
+	for now := time.Duration(0); now < simLimit.Duration; now += simTick {
 		s.deliverReports(now)
 		s.addRequests(now)
 	}
@@ -264,7 +264,7 @@
 	if target >= s.cold {
 		return
 	}
-	n.senders[target].Send(at(now))
+	n.senders[target].RecordSent(at(now))
 	s.arrivals[target] = append(s.arrivals[target], now)
 	s.arrived++
 	last := s.arrivalsInSecond(target, now)
@@ -300,14 +300,14 @@
 func (s *sim) spreadByRoom(n *simNode, now time.Duration) (target int, ok bool) {
 	total := 0
 	for t, sender := range n.senders {
-		total += sender.Room(simLimit, n.reported[t], at(now))
+		total += sender.Remaining(simLimit, n.reported[t], at(now))
 	}
 	if total == 0 {
 		return 0, false
 	}
 	left := s.rng.IntN(total)
 	for t, sender := range n.senders {
-		if left -= sender.Room(simLimit, n.reported[t], at(now)); left < 0 {
+		if left -= sender.Remaining(simLimit, n.reported[t], at(now)); left < 0 {
 			return t, true
 		}
 	}
@@ -326,11 +326,11 @@
 	sender := n.senders[target]
 	switch {
 	case s.sendersPerTarget > 0:
-		return s.allowedSenders[target][n] && sender.May(simLimit, s.sendersPerTarget, reported, at(now))
+		return s.allowedSenders[target][n] && sender.Allow(simLimit, s.sendersPerTarget, reported, at(now))
 	case s.shares:
-		return sender.May(simLimit, s.knownNodes(now), reported, at(now))
+		return sender.Allow(simLimit, s.knownNodes(now), reported, at(now))
 	}
-	return sender.Room(simLimit, reported, at(now)) > 0
+	return sender.Remaining(simLimit, reported, at(now)) > 0
 }
 
 // knownNodes returns the fleet size that a node assumes.
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -18,8 +18,8 @@
 	// PerSecond is the number of requests per second that a cold target can handle from all
 	// nodes together, 0 for no limit.
 	PerSecond float64
-	// For is how long a target is cold after it starts.
-	For time.Duration
+	// Duration is how long a target is cold after it starts.
+	Duration time.Duration
 }
 
 // window is the time over which requests are counted.
@@ -28,11 +28,11 @@
 // buckets is the number of buckets of the window.
 const buckets = 8
 
-// Sender is one node's share of a cold target's rate, a token bucket of size 1. If all nodes
+// RateShare is one node's share of a cold target's rate, a token bucket of size 1. If all nodes
 // use their shares, the target gets PerSecond requests in total. The shares of different nodes
 // become due at different times, from the moment the nodes learn of the target. An unused share
 // is kept, but no node accumulates more than one.
-type Sender struct {
+type RateShare struct {
 	tokens     float64 // requests that may be sent now, at most 1
 	refilledAt time.Time
 
@@ -42,38 +42,38 @@
 
 // NewSender returns the share of a node. phase, from 0 to 1, is the initial fill of the token
 // bucket when the target is first seen. It differs between nodes and targets.
-func NewSender(phase float64, now time.Time) *Sender {
-	return &Sender{tokens: min(phase, 1), refilledAt: now}
+func NewSender(phase float64, now time.Time) *RateShare {
+	return &RateShare{tokens: min(phase, 1), refilledAt: now}
 }
 
-// May reports whether the node may send a request now. nodes is the number of nodes that may
+// Allow reports whether the node may send a request now. nodes is the number of nodes that may
 // send, others the number of requests that the other nodes sent in the last second, by their
 // reports.
-func (s *Sender) May(l Limit, nodes, others int, now time.Time) bool {
+func (s *RateShare) Allow(l Limit, nodes, others int, now time.Time) bool {
 	s.refill(l, nodes, now)
-	return s.tokens >= 1 && s.Room(l, others, now) > 0
+	return s.tokens >= 1 && s.Remaining(l, others, now) > 0
 }
 
-// Room returns how many more requests the target can handle, given those of the last second.
-func (s *Sender) Room(l Limit, others int, now time.Time) int {
-	return max(int(l.PerSecond)-others-s.LastSecond(now), 0)
+// Remaining returns how many more requests the target can handle, given those of the last second.
+func (s *RateShare) Remaining(l Limit, others int, now time.Time) int {
+	return max(int(l.PerSecond)-others-s.SentLastSecond(now), 0)
 }
 
-func (s *Sender) refill(l Limit, nodes int, now time.Time) {
+func (s *RateShare) refill(l Limit, nodes int, now time.Time) {
 	s.tokens += now.Sub(s.refilledAt).Seconds() * l.PerSecond / float64(max(nodes, 1))
 	s.tokens = min(s.tokens, 1)
 	s.refilledAt = now
 }
 
-// Send records a request that is sent now.
-func (s *Sender) Send(now time.Time) {
+// RecordSent records a request that is sent now.
+func (s *RateShare) RecordSent(now time.Time) {
 	s.tokens = max(s.tokens-1, 0)
 	s.roll(now)
 	s.sent[s.bucket%buckets]++
 }
 
-// LastSecond returns the number of requests that the node sent in the last second.
-func (s *Sender) LastSecond(now time.Time) int {
+// SentLastSecond returns the number of requests that the node sent in the last second.
+func (s *RateShare) SentLastSecond(now time.Time) int {
 	s.roll(now)
 	sum := 0
 	for _, n := range s.sent {
@@ -82,7 +82,7 @@
 	return sum
 }
 
-func (s *Sender) roll(now time.Time) {
+func (s *RateShare) roll(now time.Time) {
 	slot := now.UnixNano() / int64(window/buckets)
 	if slot-s.bucket >= buckets {
 		s.sent = [buckets]int{}
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -118,26 +118,26 @@
 // A node accumulates at most one request, and its first share is due at its phase.
 func TestUnusedShareIsKept(t *testing.T) {
 	is := is.New(t)
-	l := Limit{PerSecond: 10, For: time.Second}
+	l := Limit{PerSecond: 10, Duration: time.Second}
 	s := NewSender(0.5, start)
-	is.True(!s.May(l, 5, 0, start))
-	is.True(s.May(l, 5, 0, start.Add(250*time.Millisecond))) // half of a share at 2 per second
+	is.True(!s.Allow(l, 5, 0, start))
+	is.True(s.Allow(l, 5, 0, start.Add(250*time.Millisecond))) // half of a share at 2 per second
 	later := start.Add(time.Minute)
-	is.True(s.May(l, 5, 0, later))
-	s.Send(later)
-	is.True(!s.May(l, 5, 0, later))
-	is.True(s.May(l, 5, 0, later.Add(500*time.Millisecond)))
+	is.True(s.Allow(l, 5, 0, later))
+	s.RecordSent(later)
+	is.True(!s.Allow(l, 5, 0, later))
+	is.True(s.Allow(l, 5, 0, later.Add(500*time.Millisecond)))
 }
 
 func TestRoomSubtractsTheLastSecond(t *testing.T) {
 	is := is.New(t)
 	l := Limit{PerSecond: 10}
 	s := NewSender(1, start)
-	s.Send(start)
-	is.Equal(s.Room(l, 4, start), 5)
-	is.Equal(s.Room(l, 12, start), 0)
-	is.True(!s.May(l, 1, 12, start.Add(time.Second/2)))
-	is.Equal(s.Room(l, 4, start.Add(2*time.Second)), 6)
+	s.RecordSent(start)
+	is.Equal(s.Remaining(l, 4, start), 5)
+	is.Equal(s.Remaining(l, 12, start), 0)
+	is.True(!s.Allow(l, 1, 12, start.Add(time.Second/2)))
+	is.Equal(s.Remaining(l, 4, start.Add(2*time.Second)), 6)
 }
 
 // However often it asks, a node sends no more than its share and the one accumulated request.
@@ -149,8 +149,8 @@
 		sent, now := 0, start
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
-			if s.May(l, nodes, 0, now) {
-				s.Send(now)
+			if s.Allow(l, nodes, 0, now) {
+				s.RecordSent(now)
 				sent++
 			}
 		}
