--- a/lab/standin/answered_test.go
+++ b/lab/standin/answered_test.go
@@ -44,9 +44,9 @@
 	delay time.Duration
 }
 
-func (d lateDialect) EncodeAnswer(dst, src http.Header) {
+func (d lateDialect) EncodeReplyHeader(dst, src http.Header) {
 	time.Sleep(d.delay)
-	d.Dialect.EncodeAnswer(dst, src)
+	d.Dialect.EncodeReplyHeader(dst, src)
 }
 
 func (d lateDialect) WriteRefusal(w http.ResponseWriter, p *problem.Problem) {
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -12,23 +12,23 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// Call is the decoded header of a caller's request.
-type Call struct {
+// CallerHeader is the decoded header of a caller's request.
+type CallerHeader struct {
 	// ID identifies the request; targets repeat it in their answers.
 	ID string
 	// Key is the caller's API key, empty for none.
 	Key string
 	// Deadline is how long the caller waits; 0 if unknown.
 	Deadline time.Duration
-	// Parts are the segments of the prompt that it shares with other requests, in order.
-	Parts []affinity.Part
-	// LastEvent is the ID of the event after which a stream is to be resumed, empty for the
+	// PromptParts are the segments of the prompt that it shares with other requests, in order.
+	PromptParts []affinity.Part
+	// LastEventID is the ID of the event after which a stream is to be resumed, empty for the
 	// complete stream.
-	LastEvent string
+	LastEventID string
 }
 
-// Send holds the values that the node adds to the header of a request to a target.
-type Send struct {
+// TargetHeader holds the values that the node adds to the header of a request to a target.
+type TargetHeader struct {
 	// Target is the ID of the intended target; any other target refuses the request.
 	Target string
 	// Remaining is how long the answer is still waited for; 0 for no limit.
@@ -39,12 +39,12 @@
 	Priority int
 	// FetchFrom is the ip:port of another target that holds parts of the prompt.
 	FetchFrom string
-	// LastEvent is the ID of the event after which the stream continues.
-	LastEvent string
+	// LastEventID is the ID of the event after which the stream continues.
+	LastEventID string
 }
 
-// Reply is the decoded header of a target's answer.
-type Reply struct {
+// ReplyHeader is the decoded header of a target's answer.
+type ReplyHeader struct {
 	// ID is the ID of the request that the answer belongs to, empty if the target sent none.
 	ID string
 	// NotRun means that the target states that it did not run the request.
@@ -64,7 +64,7 @@
 // isFromTarget reports whether an answer with the given status certainly comes from the target
 // that the request with the given ID was sent to. Another process may have its address by now,
 // or the answer may be a late one to an earlier request.
-func (r Reply) isFromTarget(status int, id string) bool {
+func (r ReplyHeader) isFromTarget(status int, id string) bool {
 	switch {
 	case r.WrongTarget:
 		return false
@@ -79,15 +79,15 @@
 // Dialect encodes and decodes requests and answers for a platform. It contains no routing
 // policy.
 type Dialect interface {
-	// DecodeCall decodes the header of a caller's request.
-	DecodeCall(r *http.Request) (Call, error)
-	// EncodeSend sets the header of a request to a target from that of the caller's request,
+	// DecodeCallerHeader decodes the header of a caller's request.
+	DecodeCallerHeader(r *http.Request) (CallerHeader, error)
+	// EncodeTargetHeader sets the header of a request to a target from that of the caller's request,
 	// without the headers that only the node may set.
-	EncodeSend(dst, src http.Header, s Send)
-	// DecodeReply decodes the header of a target's answer.
-	DecodeReply(status int, h http.Header) Reply
-	// EncodeAnswer sets the header of the answer to the caller.
-	EncodeAnswer(dst, src http.Header)
+	EncodeTargetHeader(dst, src http.Header, s TargetHeader)
+	// DecodeReplyHeader decodes the header of a target's answer.
+	DecodeReplyHeader(status int, h http.Header) ReplyHeader
+	// EncodeReplyHeader sets the header of the answer to the caller.
+	EncodeReplyHeader(dst, src http.Header)
 	// WriteRefusal writes a refusal as the complete answer.
 	WriteRefusal(w http.ResponseWriter, p *problem.Problem)
 }
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -38,7 +38,7 @@
 	req    *http.Request
 	start  time.Time
 
-	call Call
+	call CallerHeader
 	body []byte
 	// read means that the request was completely read.
 	read      bool
@@ -122,7 +122,7 @@
 // prepare reads the request, matches its route and authorizes it.
 func (x *exchange) prepare() error {
 	var err error
-	if x.call, err = x.router.dialect.DecodeCall(x.req); err != nil {
+	if x.call, err = x.router.dialect.DecodeCallerHeader(x.req); err != nil {
 		return problem.New(problem.BadRequest, problem.RanNo, err.Error())
 	}
 	if !x.awaitCatalog() {
@@ -317,8 +317,8 @@
 	if x.route != nil {
 		fields = append(fields, "route", x.route.Name)
 	}
-	if n := len(x.call.Parts); n > 0 {
-		fields = append(fields, "key", uint32(x.call.Parts[n-1].Hash), "shared", x.sharedTokens())
+	if n := len(x.call.PromptParts); n > 0 {
+		fields = append(fields, "key", uint32(x.call.PromptParts[n-1].Hash), "shared", x.sharedTokens())
 	}
 	if x.hasFingerprint {
 		fields = append(fields, "fingerprint", x.cachedFingerprint)
@@ -331,7 +331,7 @@
 
 func (x *exchange) sharedTokens() int {
 	sum := 0
-	for _, p := range x.call.Parts {
+	for _, p := range x.call.PromptParts {
 		sum += p.Tokens
 	}
 	return sum
--- a/router/forward.go
+++ b/router/forward.go
@@ -127,7 +127,7 @@
 	if !x.route.PromptRouting {
 		return nil
 	}
-	return x.call.Parts
+	return x.call.PromptParts
 }
 
 func (x *exchange) logRetry(a assignment, f *failure) {
@@ -182,9 +182,9 @@
 	if progress >= retry.Sent {
 		x.executions++
 	}
-	var reply Reply
+	var reply ReplyHeader
 	if err == nil {
-		reply = x.router.dialect.DecodeReply(resp.StatusCode, resp.Header)
+		reply = x.router.dialect.DecodeReplyHeader(resp.StatusCode, resp.Header)
 		x.recordNotice(a, reply, resp.StatusCode)
 	}
 	if err == nil && w.ended() {
@@ -250,18 +250,18 @@
 		Body:          upstream.NonReplayableBody(bytes.NewReader(x.body)),
 	}
 	left, _ := x.remaining()
-	s := Send{
+	s := TargetHeader{
 		Target: a.target.ID, Remaining: left, Workspace: x.workspace, Priority: x.priority,
-		LastEvent: x.call.LastEvent,
+		LastEventID: x.call.LastEventID,
 	}
 	if from := a.choice.FetchFrom; from != nil {
 		s.FetchFrom = from.Addr
 		x.summary.fetchFrom = from.ID
 	}
 	if x.lastEvent != "" {
-		s.LastEvent = x.lastEvent
+		s.LastEventID = x.lastEvent
 	}
-	x.router.dialect.EncodeSend(req.Header, x.req.Header, s)
+	x.router.dialect.EncodeTargetHeader(req.Header, x.req.Header, s)
 	return req.WithContext(ctx), nil
 }
 
@@ -278,7 +278,7 @@
 }
 
 // takeReply checks the header of an answer and relays the answer.
-func (x *exchange) takeReply(ctx context.Context, a assignment, reply Reply, resp *http.Response) *failure {
+func (x *exchange) takeReply(ctx context.Context, a assignment, reply ReplyHeader, resp *http.Response) *failure {
 	x.observeFirstByte()
 	if x.summary.firstByte == 0 {
 		x.summary.firstByte = x.router.now().Sub(x.start)
@@ -303,7 +303,7 @@
 }
 
 // refusedByTarget handles an answer which states that the target did not run the request.
-func (x *exchange) refusedByTarget(a assignment, reply Reply, resp *http.Response) *failure {
+func (x *exchange) refusedByTarget(a assignment, reply ReplyHeader, resp *http.Response) *failure {
 	x.executions--
 	// Reading the rest of the answer lets the connection be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedAnswer))
@@ -326,7 +326,7 @@
 )
 
 // checkReply returns an error if an answer cannot be the one to the request.
-func checkReply(reply Reply, resp *http.Response, id string) error {
+func checkReply(reply ReplyHeader, resp *http.Response, id string) error {
 	switch {
 	case reply.ID != id:
 		return errOtherAnswer
--- a/router/notices.go
+++ b/router/notices.go
@@ -65,7 +65,7 @@
 
 // recordNotice records and logs the notice in an answer, before anything is decided on the
 // answer.
-func (x *exchange) recordNotice(a assignment, reply Reply, status int) {
+func (x *exchange) recordNotice(a assignment, reply ReplyHeader, status int) {
 	if !reply.isFromTarget(status, x.call.ID) {
 		return
 	}
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -84,22 +84,22 @@
 
 func TestReplyIsFromTarget(t *testing.T) {
 	tests := map[string]struct {
-		reply  Reply
+		reply  ReplyHeader
 		status int
 		own    bool
 	}{
-		"signed":                    {Reply{ID: "1", Signed: true}, 200, true},
-		"unsigned":                  {Reply{ID: "1"}, 200, false},
-		"a failure":                 {Reply{ID: "1", Signed: true}, 500, true},
-		"an unsigned failure":       {Reply{ID: "1"}, 503, true},
-		"not run":                   {Reply{ID: "1", NotRun: true}, 503, true},
-		"not run, without an ID":    {Reply{NotRun: true}, 503, true},
-		"another target":            {Reply{ID: "1", NotRun: true, WrongTarget: true}, 421, false},
-		"another request":           {Reply{ID: "2", Signed: true}, 200, false},
-		"not run, another request":  {Reply{ID: "2", NotRun: true}, 503, false},
-		"a failure, without an ID":  {Reply{}, http.StatusInternalServerError, false},
-		"a success, without an ID":  {Reply{Signed: true}, 200, false},
-		"another target, no header": {Reply{WrongTarget: true}, 421, false},
+		"signed":                    {ReplyHeader{ID: "1", Signed: true}, 200, true},
+		"unsigned":                  {ReplyHeader{ID: "1"}, 200, false},
+		"a failure":                 {ReplyHeader{ID: "1", Signed: true}, 500, true},
+		"an unsigned failure":       {ReplyHeader{ID: "1"}, 503, true},
+		"not run":                   {ReplyHeader{ID: "1", NotRun: true}, 503, true},
+		"not run, without an ID":    {ReplyHeader{NotRun: true}, 503, true},
+		"another target":            {ReplyHeader{ID: "1", NotRun: true, WrongTarget: true}, 421, false},
+		"another request":           {ReplyHeader{ID: "2", Signed: true}, 200, false},
+		"not run, another request":  {ReplyHeader{ID: "2", NotRun: true}, 503, false},
+		"a failure, without an ID":  {ReplyHeader{}, http.StatusInternalServerError, false},
+		"a success, without an ID":  {ReplyHeader{Signed: true}, 200, false},
+		"another target, no header": {ReplyHeader{WrongTarget: true}, 421, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.reply.isFromTarget(tt.status, "1"), tt.own) })
--- a/router/relay.go
+++ b/router/relay.go
@@ -71,7 +71,7 @@
 func (x *exchange) beginAnswer(status int, header http.Header) {
 	x.answerBegun = true
 	x.summary.status = status
-	x.router.dialect.EncodeAnswer(x.w.Header(), header)
+	x.router.dialect.EncodeReplyHeader(x.w.Header(), header)
 	x.maybeSendConnectionClose()
 }
 
