--- a/heartbeat/exchange.go
+++ b/heartbeat/exchange.go
@@ -269,7 +269,7 @@
 		return
 	}
 	e.metrics.received.Inc()
-	if !a.News {
+	if !a.IsNew {
 		return
 	}
 	if a.NewPeer {
@@ -289,18 +289,18 @@
 	}
 }
 
-// Lives returns the number of live nodes, including this one. It is at most an interval and a
+// LiveNodes returns the number of live nodes, including this one. It is at most an interval and a
 // step old.
-func (e *Exchange) Lives() int {
+func (e *Exchange) LiveNodes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.liveNodes
 }
 
-// Known returns the number of nodes, including this one, that are live or were within the last
+// KnownNodes returns the number of nodes, including this one, that are live or were within the last
 // minute. For a node that has lost contact with the others, or has just started, it is still
 // the size of the whole fleet: each node's share of a fleet-wide limit must not grow then.
-func (e *Exchange) Known() int {
+func (e *Exchange) KnownNodes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.machine.view.size()
@@ -339,9 +339,9 @@
 	return e.machine.view.Ahead(catalog, revision, e.now(), e.machine.subs.rng)
 }
 
-// Rank returns how many live nodes precede this one in the order of the store's watchers, and
+// WatcherRank returns how many live nodes precede this one in the order of the store's watchers, and
 // how many other live nodes there are.
-func (e *Exchange) Rank(storeLost bool) (rank, heard int) {
+func (e *Exchange) WatcherRank(storeLost bool) (rank, heard int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.Rank(storeLost, e.leaving, e.now())
@@ -356,17 +356,17 @@
 	return nil
 }
 
-// Confirmed returns when a node at the given revision last confirmed that this revision is the
+// ConfirmedAt returns when a node at the given revision last confirmed that this revision is the
 // store's newest. It is zero if none has.
-func (e *Exchange) Confirmed(revision int64) time.Time {
+func (e *Exchange) ConfirmedAt(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.Confirmed(revision)
 }
 
-// ConfirmedBeyond returns when a live node at a later revision than the given one last
+// LaterConfirmedAt returns when a live node at a later revision than the given one last
 // confirmed that its revision is the store's newest. It is zero if none has.
-func (e *Exchange) ConfirmedBeyond(revision int64) time.Time {
+func (e *Exchange) LaterConfirmedAt(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.view.ConfirmedBeyond(revision, e.now())
--- a/heartbeat/fleet_faults_test.go
+++ b/heartbeat/fleet_faults_test.go
@@ -257,7 +257,7 @@
 					is.NoErr(err)
 					// A node outside the sender's group that has not heard the new process
 					// directly may accept the header, but its counts come from the group's sum.
-					is.True(!a.News || !at.view.inOwnGroup(&peer{key: node.view.key}))
+					is.True(!a.IsNew || !at.view.inOwnGroup(&peer{key: node.view.key}))
 				}
 				after, known := f.age(t, at, node)
 				is.True(known)
--- a/heartbeat/fleet_requests_test.go
+++ b/heartbeat/fleet_requests_test.go
@@ -209,7 +209,7 @@
 		to := NewMachine(DefaultConfig(), nodeName(1), 1, nil)
 		a, err := to.Receive(raw, start)
 		is.NoErr(err)
-		is.True(a.News)
+		is.True(a.IsNew)
 		is.Equal(a.Report.Requests, own.Requests)
 	}
 	brief, err := from.Brief(own, []string{nodeName(1)}, start)
--- a/heartbeat/fleet_test.go
+++ b/heartbeat/fleet_test.go
@@ -187,10 +187,10 @@
 	if err != nil {
 		panic(err)
 	}
-	if a.News {
+	if a.IsNew {
 		f.onReceive(n, a.Report)
 	}
-	if a.News && a.NewPeer {
+	if a.IsNew && a.NewPeer {
 		out, err := n.Brief(f.own(n), []string{a.Report.Node}, f.now)
 		if err != nil {
 			panic(err)
--- a/heartbeat/known_test.go
+++ b/heartbeat/known_test.go
@@ -18,16 +18,16 @@
 	e := NewExchange(DefaultConfig(), "10.0.0.1:1", nil, log.New(io.Discard), prometheus.NewRegistry())
 	e.now = func() time.Time { return now }
 	e.started = now
-	is.Equal(e.Known(), assumedFleetSize)
+	is.Equal(e.KnownNodes(), assumedFleetSize)
 
 	now = now.Add(discoveryTime)
 	for _, other := range []string{"10.0.0.2:1", "10.0.0.3:1"} {
 		e.machine.view.Receive(Report{Node: other, Sequence: 1}, now)
 	}
-	is.Equal(e.Known(), 3)
+	is.Equal(e.KnownNodes(), 3)
 
 	now = now.Add(30 * time.Second)
 	e.machine.view.Expire(now)
 	is.Equal(e.machine.view.Lives(now), 1)
-	is.Equal(e.Known(), 3)
+	is.Equal(e.KnownNodes(), 3)
 }
--- a/heartbeat/machine.go
+++ b/heartbeat/machine.go
@@ -37,8 +37,8 @@
 	// Report is the sender's report. Its Uses are those of the whole group if the datagram was
 	// a sum.
 	Report Report
-	// News reports whether the datagram was newer than the last one from the sender.
-	News bool
+	// IsNew reports whether the datagram was newer than the last one from the sender.
+	IsNew bool
 	// NewPeer reports whether the sender was not live before, so that it may have few
 	// addresses.
 	NewPeer bool
@@ -83,8 +83,8 @@
 // given hash.
 func (m *Machine) Target(hash uint64) Sum { return m.view.Target(hash) }
 
-// Know adds addresses at which nodes may be.
-func (m *Machine) Know(now time.Time, nodes ...string) { m.view.Know(now, nodes...) }
+// AddNodes adds addresses at which nodes may be.
+func (m *Machine) AddNodes(now time.Time, nodes ...string) { m.view.AddNodes(now, nodes...) }
 
 // header returns the node's brief report with the next sequence number.
 func (m *Machine) header(own Report) Report {
@@ -98,7 +98,7 @@
 // current report. Messages are sent in batches spread over the interval, since a burst to all
 // nodes would overflow the link of a small VM and the excess would be lost.
 func (m *Machine) Step(own Report, seeds []string, now time.Time) ([]Datagram, time.Duration, error) {
-	m.view.Know(now, seeds...)
+	m.view.AddNodes(now, seeds...)
 	m.view.Expire(now)
 	m.regroup(now)
 	m.leases.expire(now)
@@ -165,7 +165,7 @@
 		Nodes: m.view.countedNodes(now) + 1, Counts: total.pack(),
 	}
 	if withMembers {
-		s.Members = append(m.view.members(now), Member{Address: packAddress(m.self), Last: own.Leaving || own.StoreLost})
+		s.Members = append(m.view.members(now), Member{Address: packAddress(m.self), Last: own.Leaving || own.StoreUnreachable})
 	}
 	return s
 }
@@ -229,8 +229,8 @@
 	}
 	a := Received{Report: r, NewPeer: !m.view.isLive(r.Node, now)}
 	a.Report.Requests = requests
-	a.News = m.view.Receive(r, now)
-	if a.News && m.view.inOwnGroup(m.view.peers[r.Node]) {
+	a.IsNew = m.view.Receive(r, now)
+	if a.IsNew && m.view.inOwnGroup(m.view.peers[r.Node]) {
 		m.uses.add(r.Uses, now)
 	}
 	return a, nil
@@ -259,7 +259,7 @@
 		m.view.receiveSum(s.Group, counts, now)
 	}
 	s.From.Requests = requests
-	return Received{Report: s.From, News: true}, nil
+	return Received{Report: s.From, IsNew: true}, nil
 }
 
 func (m *Machine) receiveSubscription(body []byte, now time.Time) (Received, error) {
@@ -275,5 +275,5 @@
 	m.receiveProposal(s.Wanted, now)
 	m.leases.add(s.From.Node, now.Add(m.cfg.Lease))
 	s.From.Requests = requests
-	return Received{Report: s.From, News: true}, nil
+	return Received{Report: s.From, IsNew: true}, nil
 }
--- a/heartbeat/relay_test.go
+++ b/heartbeat/relay_test.go
@@ -18,7 +18,7 @@
 		name := nodeName(i)
 		if groupOf(groupKey(name), 2) != m.view.group {
 			relays = append(relays, name)
-			m.view.Know(start, name)
+			m.view.AddNodes(start, name)
 			m.view.Receive(report(name, 1), start)
 		}
 	}
--- a/heartbeat/report.go
+++ b/heartbeat/report.go
@@ -19,8 +19,8 @@
 	// Brief marks a report of versions only; the targets of the previous report remain in
 	// force.
 	Brief bool
-	// StoreLost reports whether the node can't reach the platform's store.
-	StoreLost bool
+	// StoreUnreachable reports whether the node can't reach the platform's store.
+	StoreUnreachable bool
 	// Catalog is the version of the configuration in force on the node.
 	Catalog int64
 	// Revision is the store's revision of the node's list of targets.
--- a/heartbeat/view.go
+++ b/heartbeat/view.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Know adds addresses at which nodes may be.
-func (v *View) Know(now time.Time, nodes ...string) {
+// AddNodes adds addresses at which nodes may be.
+func (v *View) AddNodes(now time.Time, nodes ...string) {
 	for _, n := range nodes {
 		if n == v.self || n == "" {
 			continue
@@ -84,7 +84,7 @@
 	if r.Node == v.self || r.Node == "" {
 		return false
 	}
-	v.Know(now, r.Node)
+	v.AddNodes(now, r.Node)
 	p := v.peers[r.Node]
 	if !p.isNewReport(r) {
 		return false
@@ -104,7 +104,7 @@
 	p.report, p.heard = r, now
 	for _, n := range r.Nodes {
 		if _, known := v.peers[n]; !known {
-			v.Know(now, n)
+			v.AddNodes(now, n)
 		}
 	}
 	return true
@@ -169,7 +169,7 @@
 		if node == v.self || node == "" {
 			continue
 		}
-		v.Know(now, node)
+		v.AddNodes(now, node)
 		p := v.peers[node]
 		p.listed, p.listedLast = now, m.Last
 	}
@@ -263,7 +263,7 @@
 	if p.listed.After(p.heard) {
 		return p.listedLast
 	}
-	return p.report.StoreLost || p.report.Leaving
+	return p.report.StoreUnreachable || p.report.Leaving
 }
 
 // isLive reports whether the node is live.
--- a/heartbeat/view_test.go
+++ b/heartbeat/view_test.go
@@ -149,7 +149,7 @@
 			v := NewView(DefaultConfig(), self)
 			for _, n := range nodes {
 				r := report(n, 1)
-				r.StoreLost = n == lost
+				r.StoreUnreachable = n == lost
 				v.Receive(r, start)
 			}
 			rank, heard := v.Rank(self == lost, false, start)
@@ -189,7 +189,7 @@
 			addresses[i] = fmt.Sprintf("10.0.0.%d:1", i)
 		}
 		slices.Sort(addresses)
-		m.view.Know(start, addresses...)
+		m.view.AddNodes(start, addresses...)
 		interval, passed := cfg.IntervalFor(n+1), time.Duration(0)
 		got := make(map[string]int)
 		for passed < 100*interval {
--- a/placement/sim_exchange_test.go
+++ b/placement/sim_exchange_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, n := range s.members {
 		n.machine = heartbeat.NewMachine(heartbeat.DefaultConfig(), n.name, 1, rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
-		n.machine.Know(simTime(0), names...)
+		n.machine.AddNodes(simTime(0), names...)
 		n.next = s.rng.Float64() * float64(heartbeat.DefaultConfig().Interval.Milliseconds())
 	}
 }
@@ -51,7 +51,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if !a.News {
+	if !a.IsNew {
 		return
 	}
 	for _, u := range a.Report.Uses {
--- a/replica/audit.go
+++ b/replica/audit.go
@@ -61,7 +61,7 @@
 // any two nodes are at the same revision. Callers must hold r.mu.
 func (r *Replica) latestConfirmation() time.Time {
 	own := r.confirmedAt()
-	if other := r.peers.ConfirmedBeyond(r.state.revision); other.After(own) {
+	if other := r.peers.LaterConfirmedAt(r.state.revision); other.After(own) {
 		return other
 	}
 	return own
@@ -70,7 +70,7 @@
 // confirmedAt returns when any node last confirmed that this copy's revision is the store's
 // newest; zero for never. Callers must hold r.mu.
 func (r *Replica) confirmedAt() time.Time {
-	if other := r.peers.Confirmed(r.state.revision); other.After(r.confirmed) {
+	if other := r.peers.ConfirmedAt(r.state.revision); other.After(r.confirmed) {
 		return other
 	}
 	return r.confirmed
--- a/replica/audit_test.go
+++ b/replica/audit_test.go
@@ -41,13 +41,13 @@
 // stubPeers has no newer versions and no confirmations.
 type stubPeers struct{ announced int }
 
-func (*stubPeers) Ahead(int64, int64) (string, bool) { return "", false }
-func (*stubPeers) Confirmed(int64) time.Time         { return time.Time{} }
-func (*stubPeers) ConfirmedBeyond(int64) time.Time   { return time.Time{} }
-func (*stubPeers) Rank(bool) (rank, discovered int)  { return 9, 300 }
-func (p *stubPeers) Announce()                       { p.announced++ }
-func (*stubPeers) Handle(string, peer.Handler)       {}
-func (*stubPeers) Limit(string, int)                 {}
+func (*stubPeers) Ahead(int64, int64) (string, bool)       { return "", false }
+func (*stubPeers) ConfirmedAt(int64) time.Time             { return time.Time{} }
+func (*stubPeers) LaterConfirmedAt(int64) time.Time        { return time.Time{} }
+func (*stubPeers) WatcherRank(bool) (rank, discovered int) { return 9, 300 }
+func (p *stubPeers) Announce()                             { p.announced++ }
+func (*stubPeers) Handle(string, peer.Handler)             {}
+func (*stubPeers) Limit(string, int)                       {}
 func (*stubPeers) Call(context.Context, string, string, any, any) error {
 	return nil
 }
@@ -172,7 +172,7 @@
 	confirmed []time.Time
 }
 
-func (d *delayedConfirmations) Confirmed(int64) time.Time {
+func (d *delayedConfirmations) ConfirmedAt(int64) time.Time {
 	for i := len(d.confirmed) - 1; i >= 0; i-- {
 		if !d.confirmed[i].After(d.now.Add(-d.delay)) {
 			return d.confirmed[i]
@@ -210,7 +210,7 @@
 	confirmed time.Time
 }
 
-func (p *aheadPeers) ConfirmedBeyond(int64) time.Time { return p.confirmed }
+func (p *aheadPeers) LaterConfirmedAt(int64) time.Time { return p.confirmed }
 
 // A node that is behind but advancing doesn't list the store, however far behind it is; one
 // that doesn't advance lists it.
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -43,16 +43,16 @@
 type Peers interface {
 	// Ahead returns a live node whose versions are newer than those given.
 	Ahead(catalog, revision int64) (node string, ok bool)
-	// Confirmed returns when a node at the given revision last confirmed that it is the store's
+	// ConfirmedAt returns when a node at the given revision last confirmed that it is the store's
 	// newest; zero for never.
-	Confirmed(revision int64) time.Time
-	// ConfirmedBeyond returns when a live node at a later revision last confirmed that its
+	ConfirmedAt(revision int64) time.Time
+	// LaterConfirmedAt returns when a live node at a later revision last confirmed that its
 	// revision is the store's newest; zero for never.
-	ConfirmedBeyond(revision int64) time.Time
-	// Rank returns how many live nodes precede this one in the order of watchers; nodes that
+	LaterConfirmedAt(revision int64) time.Time
+	// WatcherRank returns how many live nodes precede this one in the order of watchers; nodes that
 	// can't reach the store come last. discovered is the number of other nodes from which
 	// heartbeats were received.
-	Rank(storeLost bool) (rank, discovered int)
+	WatcherRank(storeLost bool) (rank, discovered int)
 	// Announce sends this node's versions to some other nodes at once.
 	Announce()
 }
--- a/replica/watchers.go
+++ b/replica/watchers.go
@@ -25,7 +25,7 @@
 func (r *Replica) updateWatcherRole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rank, discovered := r.peers.Rank(r.storeLost)
+	rank, discovered := r.peers.WatcherRank(r.storeLost)
 	r.rank = rank
 	watch := shouldWatch(rank, r.watching, r.now().Sub(r.startedAt))
 	if watch == r.watching {
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -63,7 +63,7 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	o := p.evaluate(crit, now)
-	load := o.load(p.fleet.Lives(), p.fleet.CountAge()/2) // the average age is half of the maximum
+	load := o.load(p.fleet.LiveNodes(), p.fleet.CountAge()/2) // the average age is half of the maximum
 	if d = p.gate(crit.service).Admit(crit.request, load, now); !d.Admitted() {
 		return assignment{}, d, false
 	}
--- a/router/forward.go
+++ b/router/forward.go
@@ -153,7 +153,7 @@
 		retry.Limits{MaxAttempts: max(x.route.MaxAttempts, 1), MinRemaining: minRemaining},
 	)
 	if verdict == retry.Allow && retry.DrawsOnBudget(fail.progress) && !x.retryReserved.Swap(false) &&
-		!x.router.window(x.service).Take(x.router.now(), x.router.fleet.Lives()) {
+		!x.router.window(x.service).Take(x.router.now(), x.router.fleet.LiveNodes()) {
 		return retry.BudgetEmpty
 	}
 	return verdict
--- a/router/pool.go
+++ b/router/pool.go
@@ -57,9 +57,9 @@
 // Fleet provides what the other nodes report about targets.
 type Fleet interface {
 	Targets(hashes []uint64, f func(i int, s heartbeat.Sum))
-	Lives() int
-	// Known is the number of nodes that exist or existed recently.
-	Known() int
+	LiveNodes() int
+	// KnownNodes is the number of nodes that exist or existed recently.
+	KnownNodes() int
 	// Interval is the time between two reports of a node.
 	Interval() time.Duration
 	// CountAge is the maximum age of the other nodes' counts.
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -32,8 +32,8 @@
 		g(i, f.view.Target(h))
 	}
 }
-func (f *fakeFleet) Lives() int            { return 2 }
-func (*fakeFleet) Known() int              { return 2 }
+func (f *fakeFleet) LiveNodes() int        { return 2 }
+func (*fakeFleet) KnownNodes() int         { return 2 }
 func (*fakeFleet) Interval() time.Duration { return 200 * time.Millisecond }
 func (*fakeFleet) CountAge() time.Duration { return 200 * time.Millisecond }
 
--- a/router/router.go
+++ b/router/router.go
@@ -129,7 +129,7 @@
 		rep.ConfirmedAge = age.Milliseconds()
 	}
 	rep.Leaving = r.draining.Load()
-	rep.StoreLost = r.replica.StoreLost()
+	rep.StoreUnreachable = r.replica.StoreLost()
 	rep.Requests = r.guard.Tell()
 	if !rep.Brief {
 		r.pool.fillReport(rep, now)
--- a/router/warmup.go
+++ b/router/warmup.go
@@ -23,7 +23,7 @@
 	others := 0
 	p.fleet.Targets([]uint64{arrivalsHash(m)}, func(_ int, s heartbeat.Sum) { others = s.Running })
 	c.Cold = true
-	c.MaySend = m.warmUp.Allow(l, p.fleet.Known(), others, now)
+	c.MaySend = m.warmUp.Allow(l, p.fleet.KnownNodes(), others, now)
 	c.ColdCapacity = m.warmUp.Remaining(l, others, now)
 }
 
