--- a/replica/note.go
+++ b/replica/note.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// Leads reports whether this node writes the note: it is the first in the order of the
+// WritesNote reports whether this node writes the note: it is the first in the order of the
 // watchers. It does no harm if two nodes write the note for a while.
-func (r *Replica) Leads() bool {
+func (r *Replica) WritesNote() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.watching && r.rank == 0 && !r.storeLost
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -246,9 +246,9 @@
 	}
 }
 
-// Begun returns a channel that is closed when the first configuration and the data that came
+// Initialized returns a channel that is closed when the first configuration and the data that came
 // with it are in force.
-func (r *Replica) Begun() <-chan struct{} { return r.initialized }
+func (r *Replica) Initialized() <-chan struct{} { return r.initialized }
 
 // publishEvacuations publishes the evacuated failure domains. Callers must hold r.mu.
 func (r *Replica) publishEvacuations(source string) {
@@ -387,9 +387,9 @@
 	}
 }
 
-// Heard handles the versions that another node reports. If that node is ahead, check looks at
+// HandlePeerVersions handles the versions that another node reports. If that node is ahead, check looks at
 // once whether to copy from it.
-func (r *Replica) Heard(catalogVersion, revision int64) {
+func (r *Replica) HandlePeerVersions(catalogVersion, revision int64) {
 	r.mu.Lock()
 	ownCatalog, ownRevision := r.versions()
 	r.mu.Unlock()
--- a/replica/watchers.go
+++ b/replica/watchers.go
@@ -75,8 +75,8 @@
 	return r.watching || r.stale
 }
 
-// StoreLost reports whether this node can't reach the store at present.
-func (r *Replica) StoreLost() bool {
+// StoreUnreachable reports whether this node can't reach the store at present.
+func (r *Replica) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.storeLost
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -153,7 +153,7 @@
 	ctx, cancel := context.WithTimeout(x.req.Context(), configWait)
 	defer cancel()
 	select {
-	case <-x.router.replica.Begun():
+	case <-x.router.replica.Initialized():
 		return true
 	case <-ctx.Done():
 		return false
--- a/router/memory.go
+++ b/router/memory.go
@@ -43,7 +43,7 @@
 
 // saveNote writes the note if this node is its writer, and reports whether it is.
 func (r *Router) saveNote(ctx context.Context) bool {
-	if !r.replica.Leads() || r.draining.Load() {
+	if !r.replica.WritesNote() || r.draining.Load() {
 		return false
 	}
 	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Note()})
--- a/router/router.go
+++ b/router/router.go
@@ -47,14 +47,14 @@
 // Replica is the node's copy of the configuration and the targets.
 type Replica interface {
 	Catalog() *catalog.Catalog
-	// Begun is closed when the node has its first configuration and targets.
-	Begun() <-chan struct{}
+	// Initialized is closed when the node has its first configuration and targets.
+	Initialized() <-chan struct{}
 	Versions() (catalogVersion, revision int64)
 	ConfirmedAge(now time.Time) (age time.Duration, ok bool)
-	StoreLost() bool
-	// Leads reports whether this node writes the fleet's note. SaveNote writes it; a node reads
+	StoreUnreachable() bool
+	// WritesNote reports whether this node writes the fleet's note. SaveNote writes it; a node reads
 	// it when it starts and passes it to the functions registered with OnNote.
-	Leads() bool
+	WritesNote() bool
 	SaveNote(ctx context.Context, note []byte) error
 	OnNote(f func(note []byte))
 	Ready() bool
@@ -111,7 +111,7 @@
 	b.OnNote(r.readNote)
 	x.SetReporter(r)
 	x.OnReport(r.pool.receiveReport)
-	x.OnReport(func(rep heartbeat.Report) { b.Heard(rep.Catalog, rep.Revision) })
+	x.OnReport(func(rep heartbeat.Report) { b.HandlePeerVersions(rep.Catalog, rep.Revision) })
 	x.OnReport(func(rep heartbeat.Report) { guard.Hear(rep.Node, rep.Requests) })
 	guard.OnNews(func() { go x.Announce() })
 	guard.OnPut(r.requestNote)
@@ -129,7 +129,7 @@
 		rep.ConfirmedAge = age.Milliseconds()
 	}
 	rep.Leaving = r.draining.Load()
-	rep.StoreUnreachable = r.replica.StoreLost()
+	rep.StoreUnreachable = r.replica.StoreUnreachable()
 	rep.Requests = r.guard.Tell()
 	if !rep.Brief {
 		r.pool.fillReport(rep, now)
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -23,8 +23,8 @@
 	begun   chan struct{}
 }
 
-func (b *startingReplica) Catalog() *catalog.Catalog { return b.catalog.Load() }
-func (b *startingReplica) Begun() <-chan struct{}    { return b.begun }
+func (b *startingReplica) Catalog() *catalog.Catalog    { return b.catalog.Load() }
+func (b *startingReplica) Initialized() <-chan struct{} { return b.begun }
 
 func startingExchange(ctx context.Context) (*exchange, *startingReplica) {
 	b := &startingReplica{begun: make(chan struct{})}
