--- a/admission/service.go
+++ b/admission/service.go
@@ -142,7 +142,7 @@
 
 // Start implements kernel.Starter.
 func (s *Service) Start(ctx context.Context) error {
-	go pause.Every(ctx, tickInterval, s.tick)
+	go pause.RunPeriodically(ctx, tickInterval, s.tick)
 	go s.runReleases(ctx)
 	return nil
 }
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -97,8 +97,8 @@
 	IdleTimeout    time.Duration
 }
 
-// Content is the decoded configuration from which a Catalog is built.
-type Content struct {
+// Spec is the decoded configuration from which a Catalog is built.
+type Spec struct {
 	Version    int64
 	Routes     []Route
 	Services   []Service
@@ -121,7 +121,7 @@
 var ErrInvalid = errors.New("catalog: invalid configuration; mend the named field and write it again")
 
 // New validates and indexes a configuration. Its errors wrap ErrInvalid.
-func New(c Content) (*Catalog, error) {
+func New(c Spec) (*Catalog, error) {
 	out := &Catalog{
 		version:      c.Version,
 		routes:       make(map[string]*Route, len(c.Routes)),
@@ -198,13 +198,13 @@
 	return w, ok
 }
 
-// HasWorkspaces reports whether requests need a key. They also do if workspaces exist but have
+// RequiresKey reports whether requests need a key. They also do if workspaces exist but have
 // no keys.
-func (c *Catalog) HasWorkspaces() bool { return c.keysRequired }
+func (c *Catalog) RequiresKey() bool { return c.keysRequired }
 
-// Choose returns the service for a request of the route. point is a uniformly distributed hash
+// PickService returns the service for a request of the route. point is a uniformly distributed hash
 // of the request, so that each service gets the share of its weight.
-func (r *Route) Choose(point uint64) string {
+func (r *Route) PickService(point uint64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 
 func sampleCatalog(t *testing.T) *Catalog {
 	t.Helper()
-	c, err := New(Content{
+	c, err := New(Spec{
 		Version: 3,
 		Routes: []Route{
 			{Name: "short", Host: "a.example", Prefix: "/x/", Backends: []Backend{{"s", 1}}},
@@ -56,7 +56,7 @@
 	r, _ := sampleCatalog(t).Match("a.example", "/x/y/")
 	got := make(map[string]int)
 	for point := range uint64(1000) {
-		got[r.Choose(point)]++
+		got[r.PickService(point)]++
 	}
 	is.New(t).Equal(got, map[string]int{"s": 900, "t": 100})
 }
@@ -66,7 +66,7 @@
 		{Name: "bare", Prefix: "x", Backends: []Backend{{"s", 1}}},
 		{Name: "nowhere", Prefix: "/x/"},
 	} {
-		_, err := New(Content{Routes: []Route{r}})
+		_, err := New(Spec{Routes: []Route{r}})
 		is.New(t).True(errors.Is(err, ErrInvalid))
 	}
 }
@@ -75,8 +75,8 @@
 	is := is.New(t)
 	is.True(Regions(nil).Allow("a"))
 	is.True(!Regions{}.Allow("a"))
-	is.True(Regions{"a"}.And(nil).Allow("a"))
-	is.True(!Regions(nil).And(Regions{"a"}).Allow("b"))
-	is.True(!Regions{"a"}.And(Regions{"b"}).Allow("a")) // an empty list, since nil would allow any region
-	is.Equal(Regions{"a", "b"}.And(Regions{"b", "c"}), Regions{"b"})
+	is.True(Regions{"a"}.Intersect(nil).Allow("a"))
+	is.True(!Regions(nil).Intersect(Regions{"a"}).Allow("b"))
+	is.True(!Regions{"a"}.Intersect(Regions{"b"}).Allow("a")) // an empty list, since nil would allow any region
+	is.Equal(Regions{"a", "b"}.Intersect(Regions{"b", "c"}), Regions{"b"})
 }
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -8,8 +8,8 @@
 // Allow reports whether a region is allowed.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both sets allow.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that both sets allow.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == nil:
 		return other
--- a/damping/damping.go
+++ b/damping/damping.go
@@ -39,9 +39,9 @@
 	return &Damper{cfg: cfg, records: make(map[string]*record)}
 }
 
-// Depart records that id departed at now, or was replaced. If id has departed Threshold times
+// RecordDeparture records that id departed at now, or was replaced. If id has departed Threshold times
 // within Window, it starts a hold-down or a longer one.
-func (d *Damper) Depart(id string, now time.Time) {
+func (d *Damper) RecordDeparture(id string, now time.Time) {
 	r, ok := d.records[id]
 	if !ok {
 		r = &record{}
--- a/damping/damping_test.go
+++ b/damping/damping_test.go
@@ -31,7 +31,7 @@
 			is := is.New(t)
 			d := New(cfg)
 			for _, s := range tc.departures {
-				d.Depart("e", epoch.Add(time.Duration(s)*time.Second))
+				d.RecordDeparture("e", epoch.Add(time.Duration(s)*time.Second))
 			}
 			is.Equal(d.Held("e", epoch.Add(time.Duration(tc.at)*time.Second)), tc.held)
 		})
@@ -43,7 +43,7 @@
 		d, now := New(DefaultConfig()), epoch
 		for _, gap := range rapid.SliceOf(rapid.IntRange(0, 400)).Draw(t, "gaps") {
 			now = now.Add(time.Duration(gap) * time.Second)
-			d.Depart("e", now)
+			d.RecordDeparture("e", now)
 			if d.HeldUntil("e").After(now.Add(DefaultConfig().Max)) {
 				t.Fatal("held for longer than Max")
 			}
--- a/lab/soak/lost.go
+++ b/lab/soak/lost.go
@@ -121,7 +121,7 @@
 // watchStalls notes when this process was not run, until ctx ends.
 func (l *lostRule) watchStalls(ctx context.Context) {
 	last := time.Now()
-	pause.Every(ctx, stallCheck, func(context.Context) {
+	pause.RunPeriodically(ctx, stallCheck, func(context.Context) {
 		now := time.Now()
 		if now.Sub(last) > stallLimit {
 			l.stalls.add(last, now)
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -204,7 +204,7 @@
 		return known
 	default:
 		if known.State <= Suspect && n.State >= Leaving {
-			m.damper.Depart(n.ID, now)
+			m.damper.RecordDeparture(n.ID, now)
 		}
 		known.Node = n
 	}
--- a/orders/service.go
+++ b/orders/service.go
@@ -90,7 +90,7 @@
 
 func (s *Service) run(ctx context.Context) {
 	defer close(s.done)
-	pause.Every(ctx, surveyInterval, func(context.Context) { s.survey() })
+	pause.RunPeriodically(ctx, surveyInterval, func(context.Context) { s.survey() })
 }
 
 // Drain implements kernel.Drainer: it hands every duty over.
--- a/pause/pause_test.go
+++ b/pause/pause_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
-	Every(ctx, time.Millisecond, func(context.Context) {
+	RunPeriodically(ctx, time.Millisecond, func(context.Context) {
 		if calls++; calls == 3 {
 			cancel()
 		}
--- a/quarantine/gossip/gossip.go
+++ b/quarantine/gossip/gossip.go
@@ -81,7 +81,7 @@
 
 // Start implements kernel.Starter.
 func (s *Service) Start(ctx context.Context) error {
-	go pause.Every(ctx, interval, s.sendRound)
+	go pause.RunPeriodically(ctx, interval, s.sendRound)
 	go s.sendChanges(ctx)
 	return nil
 }
--- a/replica/lines_test.go
+++ b/replica/lines_test.go
@@ -20,7 +20,7 @@
 	p := &stubPeers{}
 	r := New(&fakeSource{}, testSchema{}, p, p, log.New(out), prometheus.NewRegistry())
 	reported := 0
-	r.OnTargets(func(changed []roster.Difference) { reported += len(changed) })
+	r.OnTargets(func(changed []roster.TargetChange) { reported += len(changed) })
 	lines := func(events ...store.Event) int {
 		out.Reset()
 		revision := r.revision()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -107,7 +107,7 @@
 	rng              *rand.Rand
 	// cancelWatch ends the current watch.
 	cancelWatch context.CancelFunc
-	onTargets   []func([]roster.Difference)
+	onTargets   []func([]roster.TargetChange)
 	// watching means that this node watches the store; wakeup wakes follow when that changes or
 	// a list is due.
 	watching      bool
@@ -147,7 +147,7 @@
 
 // OnTargets registers f to be called with each change of the targets. It must be called before
 // Start; f must not call the replica.
-func (r *Replica) OnTargets(f func([]roster.Difference)) { r.onTargets = append(r.onTargets, f) }
+func (r *Replica) OnTargets(f func([]roster.TargetChange)) { r.onTargets = append(r.onTargets, f) }
 
 // Versions returns the version of the configuration and the revision of the targets, 0 for
 // none. The revision is 0 until the first copy is complete, since a partial copy must not be
@@ -289,7 +289,7 @@
 
 // publishTargets publishes the targets. Callers must hold r.mu.
 func (r *Replica) publishTargets(source string) {
-	changed := r.state.keeper.Changes()
+	changed := r.state.keeper.TakeChanges()
 	count := r.state.keeper.Count()
 	r.logTargets(changed, source)
 	r.targets.Store(int64(count))
@@ -309,7 +309,7 @@
 )
 
 // logTargets logs changes of targets. Callers must hold r.mu.
-func (r *Replica) logTargets(changed []roster.Difference, source string) {
+func (r *Replica) logTargets(changed []roster.TargetChange, source string) {
 	if len(changed) <= maxTargetLines {
 		for _, d := range changed {
 			r.log.Info("target changed", "target", d.Target.ID, "service", d.Target.Service, "addr", d.Target.Addr,
--- a/replica/state.go
+++ b/replica/state.go
@@ -54,7 +54,7 @@
 	// revision is the store's revision up to which the copy is complete.
 	revision int64
 	targets  map[string]heldEntry
-	keeper   *roster.Keeper
+	keeper   *roster.Registry
 	// evacuations are the entries of evacuated failure domains, by key.
 	evacuations map[string]Entry
 	// history records when targets and evacuations changed.
--- a/replica/state_test.go
+++ b/replica/state_test.go
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal(value, &version); err != nil {
 		return nil, err
 	}
-	return catalog.New(catalog.Content{Version: version})
+	return catalog.New(catalog.Spec{Version: version})
 }
 
 func (testSchema) DecodeTarget(key string, value []byte) (roster.Target, error) {
--- a/replica/targets.go
+++ b/replica/targets.go
@@ -33,12 +33,12 @@
 }
 
 // normalizeFault maps faults that this release doesn't define, as other releases may send them,
-// to roster.NotReadable.
+// to roster.BadFormat.
 func normalizeFault(f roster.EntryFault) roster.EntryFault {
 	if slices.Contains(roster.EntryFaults, f) {
 		return f
 	}
-	return roster.NotReadable
+	return roster.BadFormat
 }
 
 // storeEntry stores a written entry and returns the target to put into the keeper; ok is false
@@ -53,7 +53,7 @@
 			c.onUnusable(e.Key, e.Revision, err)
 		}
 		c.targets[e.Key] = heldEntry{e.withFault(faultOf(err)), last.id}
-		return c.keeper.Withdrawn(last.id)
+		return c.keeper.AsWithdrawn(last.id)
 	case !c.keeper.IsSuperseded(t):
 		c.targets[e.Key] = heldEntry{e, t.ID}
 	case known:
--- a/replica/unusable.go
+++ b/replica/unusable.go
@@ -44,7 +44,7 @@
 	if errors.As(err, &e) {
 		return e.Fault
 	}
-	return roster.NotReadable
+	return roster.BadFormat
 }
 
 // reportUnusableEntry counts and logs one change of an entry that doesn't describe a usable
--- a/replica/unusable_test.go
+++ b/replica/unusable_test.go
@@ -95,7 +95,7 @@
 			is.Equal(c.keeper.Pool("s")[0].ID, "t/b")
 			withdrawn := 0
 			// The target is not gone: its requests in progress still count.
-			for _, d := range c.keeper.Changes() {
+			for _, d := range c.keeper.TakeChanges() {
 				if d.Target.Withdrawn {
 					withdrawn++
 				}
--- a/roster/diff.go
+++ b/roster/diff.go
@@ -23,30 +23,30 @@
 	Modified  Change = "modified"
 )
 
-// Difference is the change of one target.
-type Difference struct {
+// TargetChange is the change of one target.
+type TargetChange struct {
 	// Target is the current state of the target, or its last one if Change is Gone.
 	Target *Target
 	Change Change
 }
 
-// Changes returns what changed since its last call, ordered by ID. Its cost depends on the
+// TakeChanges returns what changed since its last call, ordered by ID. Its cost depends on the
 // number of changes and not on the number of targets.
-func (k *Keeper) Changes() []Difference {
-	out := make([]Difference, 0, len(k.baseline))
+func (k *Registry) TakeChanges() []TargetChange {
+	out := make([]TargetChange, 0, len(k.baseline))
 	for id, old := range k.baseline {
 		now, exists := k.targets[id]
 		switch {
 		case !exists && old != nil:
-			out = append(out, Difference{old, Gone})
+			out = append(out, TargetChange{old, Gone})
 		case exists && old == nil:
-			out = append(out, Difference{now, Joined})
+			out = append(out, TargetChange{now, Joined})
 		case exists && *old != *now:
-			out = append(out, Difference{now, changeBetween(old, now)})
+			out = append(out, TargetChange{now, changeBetween(old, now)})
 		}
 	}
 	clear(k.baseline)
-	slices.SortFunc(out, func(a, b Difference) int { return strings.Compare(a.Target.ID, b.Target.ID) })
+	slices.SortFunc(out, func(a, b TargetChange) int { return strings.Compare(a.Target.ID, b.Target.ID) })
 	return out
 }
 
--- a/roster/entry.go
+++ b/roster/entry.go
@@ -9,7 +9,7 @@
 const (
 	BadKey       EntryFault = "key"     // the key contains no ID
 	TooLong      EntryFault = "length"  // far longer than any target's entry
-	NotReadable  EntryFault = "bytes"   // the value doesn't have the expected format
+	BadFormat    EntryFault = "bytes"   // the value doesn't have the expected format
 	MissingField EntryFault = "missing" // a required field is missing
 	WrongType    EntryFault = "type"    // a field has the wrong type
 	OutOfRange   EntryFault = "range"   // a number is outside its plausible range
@@ -19,7 +19,7 @@
 
 // EntryFaults lists all faults.
 var EntryFaults = []EntryFault{
-	BadKey, TooLong, NotReadable, MissingField, WrongType, OutOfRange, UnknownState, BadAddress,
+	BadKey, TooLong, BadFormat, MissingField, WrongType, OutOfRange, UnknownState, BadAddress,
 }
 
 // EntryError is the error of an entry that doesn't describe a usable target. Such entries come
--- a/roster/evacuation.go
+++ b/roster/evacuation.go
@@ -4,7 +4,7 @@
 
 // Evacuate replaces the set of evacuated failure domains. It returns true if that changes a
 // target.
-func (k *Keeper) Evacuate(domains map[string]bool, now time.Time) bool {
+func (k *Registry) Evacuate(domains map[string]bool, now time.Time) bool {
 	k.evacuated = domains
 	changed := false
 	for id, t := range k.targets {
@@ -23,7 +23,7 @@
 }
 
 // CountInDomain returns the number of targets in a failure domain.
-func (k *Keeper) CountInDomain(domain string) int {
+func (k *Registry) CountInDomain(domain string) int {
 	n := 0
 	for _, t := range k.targets {
 		if t.FailureDomain == domain {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -72,8 +72,8 @@
 // about two seconds after the store is back.
 const OutageGrace = 2 * time.Second
 
-// Keeper holds the current targets. It is not safe for concurrent use.
-type Keeper struct {
+// Registry holds the current targets. It is not safe for concurrent use.
+type Registry struct {
 	targets map[string]*Target
 	// missing holds, for each target whose entry vanished, the time at which the target is
 	// removed.
@@ -91,14 +91,14 @@
 }
 
 // NewKeeper returns an empty Keeper.
-func NewKeeper() *Keeper {
-	return &Keeper{
+func NewKeeper() *Registry {
+	return &Registry{
 		targets: make(map[string]*Target), missing: make(map[string]time.Time), baseline: make(map[string]*Target),
 	}
 }
 
 // set replaces the target with the given ID; a nil target removes it.
-func (k *Keeper) set(id string, t *Target) {
+func (k *Registry) set(id string, t *Target) {
 	old := k.targets[id]
 	if _, recorded := k.baseline[id]; !recorded {
 		k.baseline[id] = old
@@ -117,11 +117,11 @@
 }
 
 // Count returns the number of targets without the withdrawn ones.
-func (k *Keeper) Count() int { return len(k.targets) - k.withdrawn }
+func (k *Registry) Count() int { return len(k.targets) - k.withdrawn }
 
 // Pool returns the targets of a service ordered by ID, including draining and without withdrawn
 // ones. It scans all targets.
-func (k *Keeper) Pool(service string) []*Target {
+func (k *Registry) Pool(service string) []*Target {
 	var out []*Target
 	for _, t := range k.targets {
 		if t.Service == service && !t.Withdrawn {
@@ -134,7 +134,7 @@
 
 // MarkOutage records that the store was unreachable at now, so that entries may expire although
 // their targets still run.
-func (k *Keeper) MarkOutage(now time.Time) {
+func (k *Registry) MarkOutage(now time.Time) {
 	k.outageUntil = now.Add(OutageGrace)
 	for id := range k.missing {
 		if !k.targets[id].Fallback {
@@ -145,14 +145,14 @@
 
 // IsSuperseded reports whether a later run under the target's ID is known. The target's entry
 // is outdated then: it was written late, or read from a copy that is behind.
-func (k *Keeper) IsSuperseded(t Target) bool {
+func (k *Registry) IsSuperseded(t Target) bool {
 	known, ok := k.targets[t.ID]
 	return ok && t.Started.Before(known.Started)
 }
 
-// Withdrawn returns the target with the given ID marked as withdrawn, for an entry that has
+// AsWithdrawn returns the target with the given ID marked as withdrawn, for an entry that has
 // become unusable; ok is false if there is no such target.
-func (k *Keeper) Withdrawn(id string) (t Target, ok bool) {
+func (k *Registry) AsWithdrawn(id string) (t Target, ok bool) {
 	known, ok := k.targets[id]
 	if !ok {
 		return Target{}, false
@@ -164,7 +164,7 @@
 
 // Put adds or changes a target and returns true if that changes the targets. A superseded run
 // changes nothing.
-func (k *Keeper) Put(t Target, now time.Time) bool {
+func (k *Registry) Put(t Target, now time.Time) bool {
 	if k.IsSuperseded(t) {
 		return false
 	}
@@ -192,7 +192,7 @@
 // outage of the store the target stays unchanged until OutageGrace has passed, unless it is
 // draining; otherwise it is a fallback for FallbackGrace. A withdrawn target is removed at
 // once.
-func (k *Keeper) Remove(id string, now time.Time) bool {
+func (k *Registry) Remove(id string, now time.Time) bool {
 	t, known := k.targets[id]
 	if _, already := k.missing[id]; !known || already {
 		return false
@@ -213,7 +213,7 @@
 }
 
 // Reset replaces all entries by a complete list and returns true if that changes the targets.
-func (k *Keeper) Reset(list []Target, now time.Time) bool {
+func (k *Registry) Reset(list []Target, now time.Time) bool {
 	changed := false
 	present := make(map[string]bool, len(list))
 	initial := len(k.targets) == 0
@@ -235,7 +235,7 @@
 }
 
 // Expire removes the targets whose grace period has ended and returns true if there were any.
-func (k *Keeper) Expire(now time.Time) bool {
+func (k *Registry) Expire(now time.Time) bool {
 	changed := false
 	for id, end := range k.missing {
 		if !now.Before(end) {
@@ -249,7 +249,7 @@
 
 // NextExpiry returns the time of the next removal by Expire; ok is false if no entry is
 // missing.
-func (k *Keeper) NextExpiry() (at time.Time, ok bool) {
+func (k *Registry) NextExpiry() (at time.Time, ok bool) {
 	for _, end := range k.missing {
 		if !ok || end.Before(at) {
 			at, ok = end, true
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1000, 0)
 
-func ids(k *Keeper) []string {
+func ids(k *Registry) []string {
 	out := []string{}
 	for _, t := range k.Pool("s") {
 		out = append(out, t.ID)
@@ -103,7 +103,7 @@
 func TestChangesReportEachKind(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{engine("a"), engine("b"), engine("c"), engine("d")}, start)
-	k.Changes()
+	k.TakeChanges()
 	drained := engine("a")
 	drained.Draining = true
 	k.Put(drained, start)
@@ -113,16 +113,16 @@
 	moved.Slots = 9
 	k.Put(moved, start)
 	got := make(map[string]Change)
-	for _, d := range k.Changes() {
+	for _, d := range k.TakeChanges() {
 		got[d.Target.ID] = d.Change
 	}
 	is.Equal(got, map[string]Change{"a": Drains, "b": Lapses, "d": Modified, "e": Joined})
 	k.Expire(start.Add(FallbackGrace))
-	changed := k.Changes()
+	changed := k.TakeChanges()
 	is.Equal(len(changed), 1)
 	is.Equal(changed[0].Target.ID, "b")
 	is.Equal(changed[0].Change, Gone)
-	is.Equal(len(k.Changes()), 0)
+	is.Equal(len(k.TakeChanges()), 0)
 }
 
 func run(id string, second int64) Target {
@@ -139,14 +139,14 @@
 	leaving.Draining = true
 	k.Reset([]Target{leaving, run("b", 10)}, start)
 	k.Remove("a", start)
-	k.Changes()
+	k.TakeChanges()
 	later := start.Add(time.Millisecond)
 	is.True(k.Put(run("a", 11), later))
 	got := k.Pool("s")[0]
 	is.True(!got.Draining && !got.Fallback)
 	is.Equal(got.Joined, later)
 	is.True(!k.Expire(start.Add(time.Hour)))
-	changed := k.Changes()
+	changed := k.TakeChanges()
 	is.Equal(len(changed), 1)
 	is.Equal(changed[0].Change, Restarted)
 }
@@ -189,20 +189,20 @@
 func TestWithdrawnTarget(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
-	k.Changes()
-	withdrawn, ok := k.Withdrawn("a")
+	k.TakeChanges()
+	withdrawn, ok := k.AsWithdrawn("a")
 	is.True(ok)
 	is.True(k.Put(withdrawn, start))
 	is.True(!k.Put(withdrawn, start))
 	is.Equal(ids(k), []string{"b"})
-	is.Equal(k.Changes()[0].Change, Withdrawn)
+	is.Equal(k.TakeChanges()[0].Change, Withdrawn)
 	is.True(k.Put(run("a", 10), start))
 	is.Equal(ids(k), []string{"a", "b"})
 	is.True(k.Put(withdrawn, start))
 	k.MarkOutage(start)
 	is.True(k.Remove("a", start))
 	is.Equal(ids(k), []string{"b"})
-	_, ok = k.Withdrawn("a")
+	_, ok = k.AsWithdrawn("a")
 	is.True(!ok)
 }
 
@@ -211,19 +211,19 @@
 func TestChangesThatCancelOut(t *testing.T) {
 	is, k := is.New(t), NewKeeper()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
-	k.Changes()
+	k.TakeChanges()
 	drained := run("a", 10)
 	drained.Draining = true
 	is.True(k.Put(drained, start))
 	is.True(k.Put(run("a", 10), start))
-	is.Equal(len(k.Changes()), 0)
+	is.Equal(len(k.TakeChanges()), 0)
 	k.Remove("b", start)
 	k.Expire(start.Add(FallbackGrace))
 	is.True(k.Put(run("b", 11), start.Add(FallbackGrace)))
 	is.True(k.Put(run("c", 10), start))
 	k.Remove("c", start)
 	k.Expire(start.Add(FallbackGrace))
-	changed := k.Changes()
+	changed := k.TakeChanges()
 	is.Equal(len(changed), 1)
 	is.Equal(changed[0].Change, Restarted)
 }
@@ -237,14 +237,14 @@
 			list[i] = engine(strconv.Itoa(i))
 		}
 		k.Reset(list, start)
-		k.Changes()
+		k.TakeChanges()
 		at := 0
 		return testing.AllocsPerRun(100, func() {
 			at++
 			changed := engine("7")
 			changed.Slots = at
 			k.Put(changed, start)
-			if len(k.Changes()) != 1 {
+			if len(k.TakeChanges()) != 1 {
 				t.Fatal("not one change")
 			}
 		})
--- a/router/ends_test.go
+++ b/router/ends_test.go
@@ -77,7 +77,7 @@
 			p.clock = p.clock.Add(tt.after)
 			target.Started = p.clock
 			p.keeper.Reset([]roster.Target{target}, p.clock)
-			p.update(p.keeper.Changes())
+			p.update(p.keeper.TakeChanges())
 			is.Equal(strikes(p, s), tt.want)
 		})
 	}
@@ -122,7 +122,7 @@
 	}
 	target.Started = p.clock
 	p.keeper.Reset([]roster.Target{target}, p.clock)
-	p.update(p.keeper.Changes())
+	p.update(p.keeper.TakeChanges())
 	is.Equal(strikes(p, ended), 1)
 	is.Equal(strikes(p, later[0]), 0)
 }
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -198,7 +198,7 @@
 		return problem.New(problem.NotFound, problem.RanNo, "no route")
 	}
 	x.route = route
-	x.service = route.Choose(routing.Hash(x.call.ID))
+	x.service = route.PickService(routing.Hash(x.call.ID))
 	wait := x.call.Deadline
 	if route.Timeout > 0 && (wait == 0 || route.Timeout < wait) {
 		wait = route.Timeout
@@ -214,13 +214,13 @@
 	w, ok := x.catalog.Workspace(x.call.Key)
 	if ok {
 		x.workspace = w.Name
-		x.regions = x.regions.And(w.Regions)
+		x.regions = x.regions.Intersect(w.Regions)
 		if w.HasPriority {
 			x.priority = w.Priority
 		}
 		return nil
 	}
-	if x.route.Anonymous || !x.catalog.HasWorkspaces() {
+	if x.route.Anonymous || !x.catalog.RequiresKey() {
 		return nil
 	}
 	return problem.New(problem.Unauthenticated, problem.RanNo, "")
--- a/router/memory.go
+++ b/router/memory.go
@@ -38,7 +38,7 @@
 
 // saveNotes writes the note at regular intervals, on one node of the fleet.
 func (r *Router) saveNotes(ctx context.Context) {
-	pause.Every(ctx, noteInterval, func(ctx context.Context) { r.saveNote(ctx) })
+	pause.RunPeriodically(ctx, noteInterval, func(ctx context.Context) { r.saveNote(ctx) })
 }
 
 // saveNote writes the note if this node is its writer, and reports whether it is.
--- a/router/notices_sim_test.go
+++ b/router/notices_sim_test.go
@@ -63,7 +63,7 @@
 	f := &simFleet{interval: interval, now: start, rng: rand.New(rand.NewPCG(seed, seed))}
 	keeper := roster.NewKeeper()
 	keeper.Reset(targets, f.now)
-	changed := keeper.Changes()
+	changed := keeper.TakeChanges()
 	for range nodes {
 		n := &simNode{fleet: f}
 		now := func() time.Time { return f.now }
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -49,7 +49,7 @@
 	p.keeper.Remove("a", p.clock)
 	p.clock = p.clock.Add(time.Minute)
 	p.keeper.Expire(p.clock)
-	p.update(p.keeper.Changes())
+	p.update(p.keeper.TakeChanges())
 	p.recordNotice(l, leaves) // the header of a late answer
 	p.put(run("a", 10))
 	_, _, ok := p.acquire(criteria{service: service})
@@ -66,7 +66,7 @@
 	p.keeper.Remove("a", p.clock)
 	p.clock = p.clock.Add(time.Minute)
 	p.keeper.Expire(p.clock)
-	p.update(p.keeper.Changes())
+	p.update(p.keeper.TakeChanges())
 	p.put(run("a", 10))
 	p.recordNotice(l, leaves)
 	_, _, ok := p.acquire(criteria{service: service, tried: []string{"b"}})
--- a/router/pool.go
+++ b/router/pool.go
@@ -172,7 +172,7 @@
 }
 
 // update applies changes of the targets.
-func (p *pool) update(changed []roster.Difference) {
+func (p *pool) update(changed []roster.TargetChange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, d := range changed {
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -49,7 +49,7 @@
 type testPool struct {
 	*pool
 	fleet  *fakeFleet
-	keeper *roster.Keeper
+	keeper *roster.Registry
 	clock  time.Time
 }
 
@@ -61,14 +61,14 @@
 	p.now = now
 	p.keeper = roster.NewKeeper()
 	p.keeper.Reset(targets, p.clock)
-	p.update(p.keeper.Changes())
+	p.update(p.keeper.TakeChanges())
 	return p
 }
 
 // put adds or changes a target.
 func (p *testPool) put(t roster.Target) {
 	p.keeper.Put(t, p.clock)
-	p.update(p.keeper.Changes())
+	p.update(p.keeper.TakeChanges())
 }
 
 // run returns a target that started at the given second, 0 for an unknown start time.
@@ -241,7 +241,7 @@
 	l := p.take(t)
 	p.settle()
 	id := l.target.ID
-	withdrawn, _ := p.keeper.Withdrawn(id)
+	withdrawn, _ := p.keeper.AsWithdrawn(id)
 	p.put(withdrawn)
 	for range 20 {
 		other := p.take(t)
--- a/router/router.go
+++ b/router/router.go
@@ -58,7 +58,7 @@
 	SaveNote(ctx context.Context, note []byte) error
 	OnNote(f func(note []byte))
 	Ready() bool
-	OnTargets(f func([]roster.Difference))
+	OnTargets(f func([]roster.TargetChange))
 }
 
 // Router serves callers' requests.
--- a/router/warmup_test.go
+++ b/router/warmup_test.go
@@ -89,7 +89,7 @@
 	p.warmUpOf = func(string) warmup.Limit { return coldLimit }
 	evacuate := func(domains map[string]bool) {
 		p.keeper.Evacuate(domains, p.clock)
-		p.update(p.keeper.Changes())
+		p.update(p.keeper.TakeChanges())
 	}
 	evacuate(map[string]bool{"y": true})
 	is.Equal(p.sentTo("b", 20), 0)
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -93,7 +93,7 @@
 // a failed read is logged and tried again.
 func (r *Registry) Start(ctx context.Context) error {
 	r.poll(ctx)
-	go pause.Every(ctx, r.interval, r.poll)
+	go pause.RunPeriodically(ctx, r.interval, r.poll)
 	return nil
 }
 
@@ -205,7 +205,7 @@
 		}
 		vm, ok := after[old.ID]
 		if !ok || vm.State == vmlist.StateLeaving || vm.Incarnation != old.Incarnation {
-			r.damper.Depart(old.ID, r.now())
+			r.damper.RecordDeparture(old.ID, r.now())
 		}
 	}
 }
