--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -46,17 +46,17 @@
 // begin returns a refusal if the guard forbids the request to run now. After a nil error the
 // caller must call done.
 func (r *guardedRequest) begin() error {
-	if !r.guard.Active() {
+	if !r.guard.HasEntries() {
 		return nil
 	}
 	d := r.guard.Begin(r.fingerprint)
-	r.counted = d.Counted
+	r.counted = d.MustCallDone
 	switch d.Verdict {
-	case quarantine.Busy:
-		return problem.New(problem.SuspectBusy, problem.RanNo, "").After(d.For)
+	case quarantine.SuspectInProgress:
+		return problem.New(problem.SuspectBusy, problem.RanNo, "").After(d.RetryAfter)
 	case quarantine.Quarantined:
-		return problem.New(problem.Quarantined, problem.RanNo, "fingerprint "+r.fingerprint.String()).After(d.For)
-	case quarantine.Free:
+		return problem.New(problem.Quarantined, problem.RanNo, "fingerprint "+r.fingerprint.String()).After(d.RetryAfter)
+	case quarantine.Allowed:
 	}
 	return nil
 }
@@ -84,8 +84,8 @@
 
 // recordCompleted reports a complete response.
 func (r *guardedRequest) recordCompleted() {
-	if r.guard.Active() {
-		r.guard.Completed(r.fingerprint)
+	if r.guard.HasEntries() {
+		r.guard.RecordCompleted(r.fingerprint)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	run := routing.Rank(uint64(r.target.Incarnation), routing.Hash(r.target.ID))
 	suspect := quarantine.Suspect{Request: r.id, Fingerprint: r.fingerprint, Sent: r.sent, Closed: closed}
-	r.guard.Ended(r.target.ID, run, []quarantine.Suspect{suspect})
+	r.guard.RecordTermination(r.target.ID, run, []quarantine.Suspect{suspect})
 }
 
 // closedByTarget reports whether the target closed the connection of a request that it may have
--- a/heartbeat/fleet_requests_test.go
+++ b/heartbeat/fleet_requests_test.go
@@ -33,8 +33,8 @@
 	for _, node := range f.nodes {
 		f.tables[node] = quarantine.NewTable(quarantine.DefaultConfig())
 	}
-	f.fill = func(n *fleetNode, r *Report) { r.Requests = f.tables[n].Tell(f.now) }
-	f.onReceive = func(n *fleetNode, r Report) { f.tables[n].Hear(r.Requests, f.now) }
+	f.fill = func(n *fleetNode, r *Report) { r.Requests = f.tables[n].PendingRecords(f.now) }
+	f.onReceive = func(n *fleetNode, r Report) { f.tables[n].MergeRecords(r.Requests, f.now) }
 	f.run(settling)
 	return f
 }
@@ -50,7 +50,7 @@
 // strike simulates that a target ends during a request from the node, and announces it.
 func (f *requestFleet) strike(n *fleetNode, request quarantine.Fingerprint) {
 	f.target++
-	f.tables[n].Ended(request, f.target, f.now.Add(-endingRun), f.now, f.now)
+	f.tables[n].RecordTermination(request, f.target, f.now.Add(-endingRun), f.now, f.now)
 	out, err := n.Brief(f.own(n), n.view.LiveAddresses(f.now, DefaultConfig().AnnounceFanout), f.now)
 	if err != nil {
 		panic(err)
@@ -169,7 +169,7 @@
 		}
 		f.target++
 		n := f.nodes[f.rng.IntN(len(f.nodes))]
-		f.tables[n].Ended(fingerprint(i+10), f.target, f.now.Add(-endingRun), f.now, f.now)
+		f.tables[n].RecordTermination(fingerprint(i+10), f.target, f.now.Add(-endingRun), f.now, f.now)
 	}
 	f.reset()
 	f.quarantineHarmful()
@@ -189,7 +189,7 @@
 	report := Report{Node: nodeName(0), Targets: []TargetReport{{Target: 1, Running: 2}}}
 	bare, err := cbor.Marshal(report)
 	is.NoErr(err)
-	withRequests, err := marshal(report, quarantine.NewTable(quarantine.DefaultConfig()).Tell(start))
+	withRequests, err := marshal(report, quarantine.NewTable(quarantine.DefaultConfig()).PendingRecords(start))
 	is.NoErr(err)
 	is.Equal(withRequests, bare)
 }
@@ -199,8 +199,8 @@
 	t.Parallel()
 	is := is.New(t)
 	tab := quarantine.NewTable(quarantine.DefaultConfig())
-	tab.Ended(harmful, 7, start, start.Add(endingRun), start.Add(endingRun))
-	own := Report{Requests: tab.Tell(start.Add(time.Second / 2))}
+	tab.RecordTermination(harmful, 7, start, start.Add(endingRun), start.Add(endingRun))
+	own := Report{Requests: tab.PendingRecords(start.Add(time.Second / 2))}
 	is.Equal(len(own.Requests), 1)
 	from := NewMachine(DefaultConfig(), nodeName(0), 1, nil)
 	for _, c := range []content{ownReport, sumOnly, sumWithMembers} {
--- a/quarantine/gossip/gossip.go
+++ b/quarantine/gossip/gossip.go
@@ -64,7 +64,7 @@
 func New(g *quarantine.Guard, n Network, m membership.Source, l *log.Logger) *Service {
 	s := &Service{guard: g, network: n, members: m, log: l, changes: make(chan struct{}, 1), spawn: func(f func()) { go f() }}
 	n.Handle(method, s.receive)
-	g.OnNews(func() {
+	g.OnLocalChange(func() {
 		select {
 		case s.changes <- struct{}{}:
 		default: // a round is already pending
@@ -99,7 +99,7 @@
 }
 
 func (s *Service) sendRound(ctx context.Context) {
-	records := s.guard.Tell()
+	records := s.guard.PendingRecords()
 	if len(records) == 0 {
 		return
 	}
@@ -143,6 +143,6 @@
 	if err := cbor.Unmarshal(m.Records, &records); err != nil {
 		return nil, errors.WithHint(errors.Wrap(err, "gossip: records"), "run the same version on all nodes")
 	}
-	s.guard.Hear("another node", records)
+	s.guard.MergeRecords("another node", records)
 	return nil, nil
 }
--- a/quarantine/gossip/gossip_test.go
+++ b/quarantine/gossip/gossip_test.go
@@ -79,7 +79,7 @@
 			for i := range 3 {
 				now = now.Add(time.Second)
 				suspect := quarantine.Suspect{Fingerprint: request, Sent: now.Add(-100 * time.Millisecond), Closed: now}
-				all[i].guard.Ended(fmt.Sprint("t", i), uint64(i), []quarantine.Suspect{suspect})
+				all[i].guard.RecordTermination(fmt.Sprint("t", i), uint64(i), []quarantine.Suspect{suspect})
 			}
 			missing := n
 			for lastEnd := now; missing > 0 && now.Sub(lastEnd) < 3*time.Second; now = now.Add(interval) {
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -48,18 +48,18 @@
 	}
 }
 
-// OnNews sets the function that is called when this node records a target termination or a
+// OnLocalChange sets the function that is called when this node records a target termination or a
 // completed attempt that clears a request, so that other nodes can be notified at once. f must
 // not block; it may call the guard. OnNews must be called before the guard is used.
-func (g *Guard) OnNews(f func()) { g.onLocalChange = f }
+func (g *Guard) OnLocalChange(f func()) { g.onLocalChange = f }
 
-// OnPut sets the function that is called when a request is put into quarantine. The same
+// OnQuarantined sets the function that is called when a request is put into quarantine. The same
 // conditions as for OnNews apply to f.
-func (g *Guard) OnPut(f func()) { g.onQuarantined = f }
+func (g *Guard) OnQuarantined(f func()) { g.onQuarantined = f }
 
-// Active reports whether the table holds any request. While it doesn't, fingerprints need not be
+// HasEntries reports whether the table holds any request. While it doesn't, fingerprints need not be
 // computed.
-func (g *Guard) Active() bool {
+func (g *Guard) HasEntries() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Len() > 0
@@ -101,9 +101,9 @@
 	Closed time.Time
 }
 
-// Ended records that a target terminated during the given attempts. instanceHash
+// RecordTermination records that a target terminated during the given attempts. instanceHash
 // identifies the process instance of the target.
-func (g *Guard) Ended(target string, instanceHash uint64, suspects []Suspect) {
+func (g *Guard) RecordTermination(target string, instanceHash uint64, suspects []Suspect) {
 	if len(suspects) == 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 	g.metrics.ends.Inc()
 	for _, s := range suspects {
 		before := g.table.Quarantined(s.Fingerprint)
-		strikes := g.table.Ended(s.Fingerprint, uint32(instanceHash), s.Sent, s.Closed, now)
+		strikes := g.table.RecordTermination(s.Fingerprint, uint32(instanceHash), s.Sent, s.Closed, now)
 		g.log.Info("target ended under a request", "target", target, "request", s.Request,
 			"fingerprint", s.Fingerprint, "strikes", strikes, "sent_ms_ago", now.Sub(s.Sent).Milliseconds())
 		if !before && g.table.Quarantined(s.Fingerprint) {
@@ -140,8 +140,8 @@
 	g.log.Warn("request quarantined: targets end under it", "fingerprint", f, "word_of", source)
 }
 
-// Completed records an attempt that received a complete response.
-func (g *Guard) Completed(f Fingerprint) {
+// RecordCompleted records an attempt that received a complete response.
+func (g *Guard) RecordCompleted(f Fingerprint) {
 	if !g.recordCompleted(f) {
 		return
 	}
@@ -152,7 +152,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before := g.table.Quarantined(f)
-	if !g.table.Completed(f, g.now()) {
+	if !g.table.RecordCompleted(f, g.now()) {
 		return false
 	}
 	if before {
@@ -168,9 +168,9 @@
 	g.log.Info("request freed from quarantine: a run was completed", "fingerprint", f, "word_of", source)
 }
 
-// Hear merges records received from another node or read from the stored snapshot. source is the
+// MergeRecords merges records received from another node or read from the stored snapshot. source is the
 // node's ID or a description, for the log.
-func (g *Guard) Hear(source string, records []Record) {
+func (g *Guard) MergeRecords(source string, records []Record) {
 	if len(records) == 0 {
 		return
 	}
@@ -182,7 +182,7 @@
 func (g *Guard) merge(source string, records []Record) (quarantined bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	added, released := g.table.Hear(records, g.now())
+	added, released := g.table.MergeRecords(records, g.now())
 	for _, f := range added {
 		g.logQuarantined(f, source)
 	}
@@ -193,17 +193,17 @@
 	return len(added) > 0
 }
 
-// Tell returns the records to send to the other nodes now.
-func (g *Guard) Tell() []Record {
+// PendingRecords returns the records to send to the other nodes now.
+func (g *Guard) PendingRecords() []Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	records := g.table.Tell(g.now())
+	records := g.table.PendingRecords(g.now())
 	g.metrics.tracked.Set(float64(g.table.Len()))
 	return records
 }
 
-// Note returns the requests in quarantine, for nodes that start later.
-func (g *Guard) Note() []Record {
+// Snapshot returns the requests in quarantine, for nodes that start later.
+func (g *Guard) Snapshot() []Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Snapshot(g.now())
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -56,11 +56,11 @@
 
 // The verdicts.
 const (
-	// Free allows the attempt.
-	Free Verdict = iota
-	// Busy refuses the attempt since this node already runs another one of the same request,
+	// Allowed allows the attempt.
+	Allowed Verdict = iota
+	// SuspectInProgress refuses the attempt since this node already runs another one of the same request,
 	// which has strikes; the outcome of that attempt decides.
-	Busy
+	SuspectInProgress
 	// Quarantined refuses the attempt.
 	Quarantined
 )
@@ -69,12 +69,12 @@
 type Decision struct {
 	Verdict Verdict
 	Strikes int
-	// Counted means that the caller must call Done when the attempt is over.
-	Counted bool
+	// MustCallDone means that the caller must call Done when the attempt is over.
+	MustCallDone bool
 	// Trial means that this is the one trial attempt of a quarantined request.
 	Trial bool
-	// For is how long the verdict holds if the request isn't received again in the meantime.
-	For time.Duration
+	// RetryAfter is how long the verdict holds if the request isn't received again in the meantime.
+	RetryAfter time.Duration
 }
 
 // Table is one node's state of the requests during which targets terminated. It is not safe for
@@ -106,13 +106,13 @@
 		if advance(&e.seen, now, 0) && now.Sub(e.changed) >= minSeenAdvance {
 			e.changed = now
 		}
-	case Free:
+	case Allowed:
 		e.running++
-		d.Counted = true
+		d.MustCallDone = true
 		if d.Trial {
 			e.trial, e.changed = now, now
 		}
-	case Busy:
+	case SuspectInProgress:
 	}
 	return d
 }
@@ -122,12 +122,12 @@
 	switch {
 	case d.Strikes < t.cfg.SerialStrikes:
 	case e.running > 0:
-		d.Verdict, d.For = Busy, busyRetry
+		d.Verdict, d.RetryAfter = SuspectInProgress, busyRetry
 	case d.Strikes < t.cfg.Strikes:
 	case t.trialDue(e, d.Strikes, now):
 		d.Trial = true
 	default:
-		d.Verdict, d.For = Quarantined, t.cfg.Retention
+		d.Verdict, d.RetryAfter = Quarantined, t.cfg.Retention
 	}
 	return d
 }
@@ -157,9 +157,9 @@
 
 func (t *Table) inQuarantine(e *entry) bool { return e.strikes() >= t.cfg.Strikes }
 
-// Ended records that a target, to which the request was sent at sent, terminated at ended. It
+// RecordTermination records that a target, to which the request was sent at sent, terminated at ended. It
 // returns the request's strikes.
-func (t *Table) Ended(f Fingerprint, target uint32, sent, ended, now time.Time) int {
+func (t *Table) RecordTermination(f Fingerprint, target uint32, sent, ended, now time.Time) int {
 	e := t.entry(f, now)
 	if e.addLocalEnd(end{target: target, sent: sent, ended: ended}) {
 		e.changed = now
@@ -168,9 +168,9 @@
 	return e.strikes()
 }
 
-// Completed records an attempt that received a complete response. It reports whether that clears
+// RecordCompleted records an attempt that received a complete response. It reports whether that clears
 // strikes of the request.
-func (t *Table) Completed(f Fingerprint, now time.Time) bool {
+func (t *Table) RecordCompleted(f Fingerprint, now time.Time) bool {
 	e, ok := t.entries[f]
 	if !ok || !e.complete(now) {
 		return false
@@ -179,9 +179,9 @@
 	return true
 }
 
-// Hear merges records received from another node or read from the stored snapshot. It returns the
+// MergeRecords merges records received from another node or read from the stored snapshot. It returns the
 // requests that this puts into quarantine and those that it releases.
-func (t *Table) Hear(records []Record, now time.Time) (quarantined, released []Fingerprint) {
+func (t *Table) MergeRecords(records []Record, now time.Time) (quarantined, released []Fingerprint) {
 	for _, r := range records {
 		if t.isExpired(r) {
 			continue
@@ -212,8 +212,8 @@
 	return r.Seen < 0 || r.Seen >= retention
 }
 
-// Tell expires old entries and returns the records to send to the other nodes now.
-func (t *Table) Tell(now time.Time) []Record {
+// PendingRecords expires old entries and returns the records to send to the other nodes now.
+func (t *Table) PendingRecords(now time.Time) []Record {
 	t.expire(now)
 	return t.records(now, func(e *entry) bool {
 		since := now.Sub(e.changed)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -27,7 +27,7 @@
 
 // strike adds one termination of a target during an attempt.
 func strike(t *Table, f Fingerprint, target uint32, sent time.Time) {
-	t.Ended(f, target, sent, sent.Add(latency), sent.Add(latency))
+	t.RecordTermination(f, target, sent, sent.Add(latency), sent.Add(latency))
 }
 
 // tableWithStrikes returns a table with n strikes against request, one second apart.
@@ -41,10 +41,10 @@
 
 func TestRequestIsQuarantinedAfterThreeStrikes(t *testing.T) {
 	is := is.New(t)
-	for n, want := range map[int]Verdict{0: Free, 1: Free, 2: Free, 3: Quarantined, 4: Quarantined} {
+	for n, want := range map[int]Verdict{0: Allowed, 1: Allowed, 2: Allowed, 3: Quarantined, 4: Quarantined} {
 		is.Equal(tableWithStrikes(n).Begin(request, at(5*time.Second)).Verdict, want)
 	}
-	is.Equal(tableWithStrikes(3).Begin(numbered(2), at(5*time.Second)).Verdict, Free) // other requests are not affected
+	is.Equal(tableWithStrikes(3).Begin(numbered(2), at(5*time.Second)).Verdict, Allowed) // other requests are not affected
 }
 
 // After two strikes a second attempt is refused while the first is in progress.
@@ -52,12 +52,12 @@
 	is := is.New(t)
 	tab := tableWithStrikes(2)
 	first := tab.Begin(request, at(5*time.Second))
-	is.True(first.Counted)
+	is.True(first.MustCallDone)
 	second := tab.Begin(request, at(5*time.Second))
-	is.Equal(second.Verdict, Busy)
-	is.True(second.For > 0)
+	is.Equal(second.Verdict, SuspectInProgress)
+	is.True(second.RetryAfter > 0)
 	tab.Done(request)
-	is.Equal(tab.Begin(request, at(6*time.Second)).Verdict, Free)
+	is.Equal(tab.Begin(request, at(6*time.Second)).Verdict, Allowed)
 }
 
 // A cause other than the request terminates many targets at the same moment. Several attempts of
@@ -67,7 +67,7 @@
 	tab := NewTable(DefaultConfig())
 	for i := range 5 {
 		sent := at(time.Duration(i) * 10 * time.Millisecond)
-		tab.Ended(request, uint32(i), sent, at(time.Second), at(time.Second))
+		tab.RecordTermination(request, uint32(i), sent, at(time.Second), at(time.Second))
 	}
 	is.Equal(tab.Begin(request, at(2*time.Second)).Strikes, 1)
 }
@@ -77,10 +77,10 @@
 func TestDuplicateReportsCountOnce(t *testing.T) {
 	is := is.New(t)
 	tab := NewTable(DefaultConfig())
-	tab.Ended(request, 7, at(0), at(latency), at(latency))
-	tab.Ended(request, 7, at(latency/2), at(latency+5*time.Millisecond), at(latency+time.Second))
+	tab.RecordTermination(request, 7, at(0), at(latency), at(latency))
+	tab.RecordTermination(request, 7, at(latency/2), at(latency+5*time.Millisecond), at(latency+time.Second))
 	// Sent while the target terminated.
-	tab.Ended(request, 7, at(latency+time.Millisecond), at(latency+6*time.Millisecond), at(latency+time.Second))
+	tab.RecordTermination(request, 7, at(latency+time.Millisecond), at(latency+6*time.Millisecond), at(latency+time.Second))
 	is.Equal(tab.Begin(request, at(time.Second)).Strikes, 1)
 }
 
@@ -103,7 +103,7 @@
 	tab := NewTable(DefaultConfig())
 	for i := range 3 {
 		sent := at(time.Duration(i) * 300 * time.Millisecond)
-		tab.Ended(request, uint32(i), sent, sent.Add(latency), at(2*time.Second))
+		tab.RecordTermination(request, uint32(i), sent, sent.Add(latency), at(2*time.Second))
 	}
 	is.Equal(tab.Begin(request, at(3*time.Second)).Verdict, Quarantined)
 }
@@ -111,10 +111,10 @@
 func TestCompleteResponseClearsStrikes(t *testing.T) {
 	is := is.New(t)
 	tab := tableWithStrikes(2)
-	is.True(tab.Completed(request, at(3*time.Second)))
+	is.True(tab.RecordCompleted(request, at(3*time.Second)))
 	strike(tab, request, 9, at(4*time.Second))
 	is.Equal(tab.Begin(request, at(5*time.Second)).Strikes, 1)
-	is.True(!tab.Completed(numbered(2), at(5*time.Second))) // the request is not in the table
+	is.True(!tab.RecordCompleted(numbered(2), at(5*time.Second))) // the request is not in the table
 }
 
 // A frequent request runs on many targets when a quarter of them terminate, three times. Its
@@ -134,7 +134,7 @@
 	}
 	for now := time.Duration(0); now < 10*time.Second; now += sendInterval {
 		n, target := tables[rng.IntN(nodes)], rng.IntN(targets)
-		if d := n.Begin(request, at(now)); d.Verdict != Free {
+		if d := n.Begin(request, at(now)); d.Verdict != Allowed {
 			t.Fatalf("at %v an attempt gets verdict %v after %d strikes", now, d.Verdict, d.Strikes)
 		}
 		n.Done(request)
@@ -142,17 +142,17 @@
 		for m := range outages {
 			outage := time.Duration(m+1) * 2 * time.Second
 			if target < targets/4 && now < outage && now+duration > outage {
-				n.Ended(request, uint32(target), at(now), at(outage), at(outage))
+				n.RecordTermination(request, uint32(target), at(now), at(outage), at(outage))
 				ended = true
 			}
 		}
 		if !ended {
-			n.Completed(request, at(now+duration))
+			n.RecordCompleted(request, at(now+duration))
 		}
 		if now%exchangeInterval == 0 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Hear(from.Tell(at(now)), at(now+5*time.Millisecond))
+					to.MergeRecords(from.PendingRecords(at(now)), at(now+5*time.Millisecond))
 				}
 			}
 		}
@@ -170,19 +170,19 @@
 		tab := tableWithStrikes(3)
 		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay-time.Second)).Verdict, Quarantined)
 		d := tab.Begin(request, quarantinedAt.Add(trialDelay))
-		is.True(d.Trial && d.Counted && d.Verdict == Free)
-		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay)).Verdict, Busy)
+		is.True(d.Trial && d.MustCallDone && d.Verdict == Allowed)
+		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay)).Verdict, SuspectInProgress)
 		tab.Done(request)
 		is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay+time.Second)).Verdict, Quarantined) // only one trial
 		if !harmful {
-			is.True(tab.Completed(request, quarantinedAt.Add(trialDelay+2*time.Second)))
-			is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay+3*time.Second)).Verdict, Free)
+			is.True(tab.RecordCompleted(request, quarantinedAt.Add(trialDelay+2*time.Second)))
+			is.Equal(tab.Begin(request, quarantinedAt.Add(trialDelay+3*time.Second)).Verdict, Allowed)
 			continue
 		}
 		strike(tab, request, 99, quarantinedAt.Add(trialDelay))
 		for after := trialDelay; after < time.Hour; after += 20 * time.Second {
 			is.Equal(tab.Begin(request, quarantinedAt.Add(after+time.Second)).Verdict, Quarantined)
-			tab.Tell(quarantinedAt.Add(after + time.Second))
+			tab.PendingRecords(quarantinedAt.Add(after + time.Second))
 		}
 	}
 }
@@ -192,9 +192,9 @@
 	is := is.New(t)
 	tab := tableWithStrikes(3)
 	is.Equal(tab.Begin(request, at(time.Minute)).Verdict, Quarantined)
-	tab.Tell(at(time.Minute + DefaultConfig().Retention - time.Second))
+	tab.PendingRecords(at(time.Minute + DefaultConfig().Retention - time.Second))
 	is.Equal(tab.Len(), 1)
-	tab.Tell(at(time.Minute + DefaultConfig().Retention))
+	tab.PendingRecords(at(time.Minute + DefaultConfig().Retention))
 	is.Equal(tab.Len(), 0)
 }
 
@@ -206,8 +206,8 @@
 	const late = 700 * time.Millisecond
 	last := time.Duration(0)
 	for now := 3 * time.Second; now < 2*DefaultConfig().Retention; now += 300 * time.Millisecond {
-		b.Hear(a.Tell(at(now)), at(now+late))
-		a.Hear(b.Tell(at(now+late)), at(now+2*late))
+		b.MergeRecords(a.PendingRecords(at(now)), at(now+late))
+		a.MergeRecords(b.PendingRecords(at(now+late)), at(now+2*late))
 		if a.Len()+b.Len() > 0 {
 			last = now
 		}
@@ -221,11 +221,11 @@
 	is := is.New(t)
 	tab := tableWithStrikes(3)
 	for i := range 100_000 {
-		tab.Ended(numbered(i+10), uint32(i), at(time.Minute), at(time.Minute+latency), at(time.Minute+latency))
+		tab.RecordTermination(numbered(i+10), uint32(i), at(time.Minute), at(time.Minute+latency), at(time.Minute+latency))
 		is.True(tab.Len() <= DefaultConfig().MaxEntries)
 	}
 	is.Equal(tab.Begin(request, at(2*time.Minute)).Strikes, 3)
-	is.True(len(tab.Tell(at(2*time.Minute))) <= DefaultConfig().MaxRecordsPerMessage)
+	is.True(len(tab.PendingRecords(at(2*time.Minute))) <= DefaultConfig().MaxRecordsPerMessage)
 }
 
 // If there are more records than fit into a message, those with the most ends are sent first.
@@ -233,9 +233,9 @@
 	is := is.New(t)
 	tab := tableWithStrikes(2)
 	for i := range 1000 {
-		tab.Ended(numbered(i+10), uint32(i), at(time.Second), at(time.Second+latency), at(time.Second+latency))
+		tab.RecordTermination(numbered(i+10), uint32(i), at(time.Second), at(time.Second+latency), at(time.Second+latency))
 	}
-	is.Equal(tab.Tell(at(time.Second + latency))[0].Request, request)
+	is.Equal(tab.PendingRecords(at(time.Second + latency))[0].Request, request)
 }
 
 // A delayed message makes an end appear later than it was; this must not count as another end.
@@ -245,8 +245,8 @@
 	now := latency
 	for range 20 {
 		now += 2 * time.Second // a node that waited for CPU time
-		b.Hear([]Record{a.entries[request].record(request, at(now-2*time.Second))}, at(now))
-		a.Hear([]Record{b.entries[request].record(request, at(now-2*time.Second))}, at(now))
+		b.MergeRecords([]Record{a.entries[request].record(request, at(now-2*time.Second))}, at(now))
+		a.MergeRecords([]Record{b.entries[request].record(request, at(now-2*time.Second))}, at(now))
 	}
 	is.Equal(a.Begin(request, at(now)).Strikes, 1)
 	is.Equal(b.Begin(request, at(now)).Strikes, 1)
@@ -260,7 +260,7 @@
 	snapshot := from.Snapshot(at(4 * time.Second))
 	is.Equal(len(snapshot), 1) // requests with fewer strikes are not stored
 	to := NewTable(DefaultConfig())
-	quarantined, released := to.Hear(snapshot, at(9*time.Second))
+	quarantined, released := to.MergeRecords(snapshot, at(9*time.Second))
 	is.Equal(quarantined, []Fingerprint{request})
 	is.Equal(len(released), 0)
 	is.Equal(to.Begin(request, at(9*time.Second)).Verdict, Quarantined)
@@ -289,7 +289,7 @@
 			strike(node, request, uint32(rapid.IntRange(0, targets-1).Draw(r, "target")), sent)
 		}
 		if rapid.Bool().Draw(r, "completed") {
-			node.Completed(request, at(time.Duration(rapid.IntRange(0, 20).Draw(r, "answer"))*time.Second))
+			node.RecordCompleted(request, at(time.Duration(rapid.IntRange(0, 20).Draw(r, "answer"))*time.Second))
 		}
 		records = append(records, []Record{node.entries[request].record(request, now)})
 	}
@@ -297,7 +297,7 @@
 		tab := NewTable(DefaultConfig())
 		for range 2 {
 			for _, i := range order {
-				tab.Hear(records[i], now)
+				tab.MergeRecords(records[i], now)
 			}
 		}
 		return tab.entries[request].strikes()
--- a/router/ends.go
+++ b/router/ends.go
@@ -85,7 +85,7 @@
 		return late || now.Sub(c.Closed) > suspectTTL
 	})
 	m.suspects = nil
-	p.guard.Ended(m.target.ID, m.target.RunHash(), suspects)
+	p.guard.RecordTermination(m.target.ID, m.target.RunHash(), suspects)
 }
 
 // closedByTarget handles a connection that the target closed before its answer was complete.
@@ -132,17 +132,17 @@
 // it may not, else nil; then the caller must call endAttempt after the attempt.
 func (x *exchange) beginAttempt() *failure {
 	guard := x.router.guard
-	if !guard.Active() {
+	if !guard.HasEntries() {
 		return nil
 	}
 	d := guard.Begin(x.fingerprint())
-	x.guarded = d.Counted
+	x.guarded = d.MustCallDone
 	switch d.Verdict {
-	case quarantine.Busy:
-		return &failure{reason: problem.SuspectBusy, cause: errSuspectBusy, retryAfter: d.For}
+	case quarantine.SuspectInProgress:
+		return &failure{reason: problem.SuspectBusy, cause: errSuspectBusy, retryAfter: d.RetryAfter}
 	case quarantine.Quarantined:
-		return &failure{reason: problem.Quarantined, cause: errQuarantined, retryAfter: d.For}
-	case quarantine.Free:
+		return &failure{reason: problem.Quarantined, cause: errQuarantined, retryAfter: d.RetryAfter}
+	case quarantine.Allowed:
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 		x.guarded = false
 		guard.Done(x.fingerprint())
 	}
-	if completed && guard.Active() {
-		guard.Completed(x.fingerprint())
+	if completed && guard.HasEntries() {
+		guard.RecordCompleted(x.fingerprint())
 	}
 }
--- a/router/memory.go
+++ b/router/memory.go
@@ -46,7 +46,7 @@
 	if !r.replica.WritesNote() || r.draining.Load() {
 		return false
 	}
-	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Note()})
+	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Snapshot()})
 	if err != nil {
 		r.log.Error("encoding the note failed", "err", err)
 		return true
@@ -99,5 +99,5 @@
 	}
 	r.log.Info("note read", "uses", len(n.Uses), "quarantined", len(n.Quarantined))
 	r.pool.recordUses(n.Uses)
-	r.guard.Hear("note", n.Quarantined)
+	r.guard.MergeRecords("note", n.Quarantined)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -112,9 +112,9 @@
 	x.SetReporter(r)
 	x.OnReport(r.pool.receiveReport)
 	x.OnReport(func(rep heartbeat.Report) { b.HandlePeerVersions(rep.Catalog, rep.Revision) })
-	x.OnReport(func(rep heartbeat.Report) { guard.Hear(rep.Node, rep.Requests) })
-	guard.OnNews(func() { go x.Announce() })
-	guard.OnPut(r.requestNote)
+	x.OnReport(func(rep heartbeat.Report) { guard.MergeRecords(rep.Node, rep.Requests) })
+	guard.OnLocalChange(func() { go x.Announce() })
+	guard.OnQuarantined(r.requestNote)
 	return r
 }
 
@@ -130,7 +130,7 @@
 	}
 	rep.Leaving = r.draining.Load()
 	rep.StoreUnreachable = r.replica.StoreUnreachable()
-	rep.Requests = r.guard.Tell()
+	rep.Requests = r.guard.PendingRecords()
 	if !rep.Brief {
 		r.pool.fillReport(rep, now)
 	}
