--- a/admission/metrics.go
+++ b/admission/metrics.go
@@ -53,26 +53,26 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, subsystem)
+	f := telemetry.NewMetricFactory(reg, subsystem)
 	return &metrics{
-		requests:  f.Counters("requests_total", "Places asked for, by outcome.", "outcome"),
-		fallbacks: f.Counters("fallbacks_total", "Places decided by the local estimate, by reason.", "reason"),
-		redirects: f.Counters("redirects_total", "Further owners asked, by reason.", "reason"),
+		requests:  f.CounterVec("requests_total", "Places asked for, by outcome.", "outcome"),
+		fallbacks: f.CounterVec("fallbacks_total", "Places decided by the local estimate, by reason.", "reason"),
+		redirects: f.CounterVec("redirects_total", "Further owners asked, by reason.", "reason"),
 		givenUp: f.Counter("asks_given_up_total",
 			"Asks without an answer in time; a late grant is released."),
-		resyncs:   f.Counters("resyncs_total", "Accounts of places sent to owners, by cause and result.", "cause", "result"),
+		resyncs:   f.CounterVec("resyncs_total", "Accounts of places sent to owners, by cause and result.", "cause", "result"),
 		takeovers: f.Counter("takeovers_total", "Cells that this node became the owner of."),
 		suspensions: f.Counter("suspensions_total",
 			"Pauses of targets of owned cells that failed several requests in a row."),
 		roundTrip: f.Histogram("owner_round_trip_seconds", "Time until another node that owns a cell answered.",
 			prometheus.ExponentialBuckets(0.0001, 1.6, 18)),
-		bytes: f.Counters("bytes_total", "Parameters and results exchanged with other nodes, by method.", "direction", "method"),
+		bytes: f.CounterVec("bytes_total", "Parameters and results exchanged with other nodes, by method.", "direction", "method"),
 	}
 }
 
 // observeState registers gauges of the service's state.
 func observeState(reg prometheus.Registerer, s *Service) {
-	f := telemetry.NewMeters(reg, subsystem)
+	f := telemetry.NewMetricFactory(reg, subsystem)
 	gauge := func(name, help string, value func() int) {
 		f.GaugeFunc(name, help, func() float64 { return float64(value()) })
 	}
--- a/claims/metrics.go
+++ b/claims/metrics.go
@@ -42,23 +42,23 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "claims")
+	f := telemetry.NewMetricFactory(reg, "claims")
 	return &metrics{
-		verdicts:  f.Counters("verdicts_total", "Claims asked for, by the state found.", "state"),
-		refusals:  f.Counters("refusals_total", "Claims refused as not run, by reason.", "reason"),
-		retries:   f.Counters("retries_total", "Calls repeated at another owner or later, by call and reason.", "call", "reason"),
-		abandoned: f.Counters("abandoned_total", "Attempts refused whose record may be in the log, so that it must be ended.").WithLabelValues(),
-		ends:      f.Counters("ends_total", "Outcomes of attempts, by what became of them.", "result"),
+		verdicts:  f.CounterVec("verdicts_total", "Claims asked for, by the state found.", "state"),
+		refusals:  f.CounterVec("refusals_total", "Claims refused as not run, by reason.", "reason"),
+		retries:   f.CounterVec("retries_total", "Calls repeated at another owner or later, by call and reason.", "call", "reason"),
+		abandoned: f.CounterVec("abandoned_total", "Attempts refused whose record may be in the log, so that it must be ended.").WithLabelValues(),
+		ends:      f.CounterVec("ends_total", "Outcomes of attempts, by what became of them.", "result"),
 		pending:   f.Gauge("ends_pending", "Outcomes that are not yet recorded."),
-		answers:   f.Counters("answers_total", "Answers looked up for repeated keys, by where they were found.", "found"),
-		handed:    f.Counters("answers_handed_total", "Kept answers to hand over when this node stops, by result.", "result"),
-		inherited: f.Counters("answers_inherited_total", "Answers offered by nodes that stop, by result.", "result"),
-		evicted:   f.Counters("answers_evicted_total", "Kept answers dropped early for want of room, by origin.", "origin"),
+		answers:   f.CounterVec("answers_total", "Answers looked up for repeated keys, by where they were found.", "found"),
+		handed:    f.CounterVec("answers_handed_total", "Kept answers to hand over when this node stops, by result.", "result"),
+		inherited: f.CounterVec("answers_inherited_total", "Answers offered by nodes that stop, by result.", "result"),
+		evicted:   f.CounterVec("answers_evicted_total", "Kept answers dropped early for want of room, by origin.", "origin"),
 		seconds: f.Histogram("claim_seconds", "Time to the verdict or refusal of a claim.",
 			[]float64{.005, .01, .025, .05, .1, .15, .2, .25, .5, 1, 2}),
-		store:  f.Counters("store_calls_total", "Calls to the platform's store as an owner, by call.", "call"),
-		events: f.Counters("owner_events_total", "Events as an owner of shards, by event.", "event"),
-		keys:   f.Gauges("owned_keys", "Keys held in memory as an owner, by shard.", "shard"),
+		store:  f.CounterVec("store_calls_total", "Calls to the platform's store as an owner, by call.", "call"),
+		events: f.CounterVec("owner_events_total", "Events as an owner of shards, by event.", "event"),
+		keys:   f.GaugeVec("owned_keys", "Keys held in memory as an owner, by shard.", "shard"),
 	}
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -35,15 +35,15 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "")
+	f := telemetry.NewMetricFactory(reg, "")
 	m := &metrics{
-		requests: f.Counters("requests_total", "Requests answered, by kind and outcome.", "kind", "outcome"),
-		refusals: f.Counters("refusals_total", "Requests refused, by reason.", "reason"),
-		retries: f.Counters("retries_total",
+		requests: f.CounterVec("requests_total", "Requests answered, by kind and outcome.", "kind", "outcome"),
+		refusals: f.CounterVec("refusals_total", "Requests refused, by reason.", "reason"),
+		retries: f.CounterVec("retries_total",
 			"Attempts repeated on another target, by reason.", "reason"),
-		resumes: f.Counters("stream_resumes_total",
+		resumes: f.CounterVec("stream_resumes_total",
 			"Cut streams resumed at their engine: by the node, by a caller that reconnected, or in vain.", "by"),
-		notices: f.Counters("notices_total",
+		notices: f.CounterVec("notices_total",
 			notice.Help, notice.Label),
 		cancels: f.Counter("streams_canceled_total",
 			"Generations canceled because their caller went away."),
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -44,17 +44,17 @@
 	return k.machine.Held(k.now())
 }
 
-// Lose ends the term because a newer fencing number was seen. The keeper then tries to acquire
+// Invalidate ends the term because a newer fencing number was seen. The keeper then tries to acquire
 // the duty again with a newer number.
-func (k *Keeper) Lose() {
+func (k *Keeper) Invalidate() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.machine.Lose()
 }
 
-// Fenced returns the compare that makes a store transaction fail unless the term with this
+// FenceCompare returns the compare that makes a store transaction fail unless the term with this
 // fencing number still holds the duty.
-func (k *Keeper) Fenced(fence int64) store.Compare {
+func (k *Keeper) FenceCompare(fence int64) store.Compare {
 	return store.Compare{Key: Key(k.duty), ModRevision: fence}
 }
 
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -68,7 +68,7 @@
 	is.Equal(kv.ModRevision, second.Fence)
 	for term, want := range map[Term]bool{first: false, second: true} {
 		_, ok, err := s.Commit(context.Background(), store.Txn{
-			Compares: []store.Compare{a.Fenced(term.Fence)},
+			Compares: []store.Compare{a.FenceCompare(term.Fence)},
 			Ops:      []store.Op{{Key: "k", Value: []byte("v")}},
 		})
 		is.NoErr(err)
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -119,8 +119,8 @@
 	// Fence is the fencing number. Later terms have greater numbers, also across duties, because
 	// it is a revision of the store.
 	Fence int64
-	// Until is when the holder treats the term as expired, on its own clock.
-	Until time.Time
+	// ValidUntil is when the holder treats the term as expired, on its own clock.
+	ValidUntil time.Time
 }
 
 // Loss is the reason for which a term ended.
@@ -176,7 +176,7 @@
 	if m.phase != phaseHeld || elapsed(m.renewedAt, now) >= m.cfg.TTL-m.cfg.Margin {
 		return Term{}, false
 	}
-	return Term{Fence: m.fence, Until: m.renewedAt.Add(m.cfg.TTL - m.cfg.Margin)}, true
+	return Term{Fence: m.fence, ValidUntil: m.renewedAt.Add(m.cfg.TTL - m.cfg.Margin)}, true
 }
 
 // Holder returns the holder of the duty when it was last read.
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -196,7 +196,7 @@
 	if !ok {
 		return
 	}
-	left := term.Until.Sub(s.clock(c)) - 10*time.Millisecond
+	left := term.ValidUntil.Sub(s.clock(c)) - 10*time.Millisecond
 	s.now = s.now.Add(max(0, time.Duration(float64(left)/c.rate)))
 }
 
--- a/lease/metrics.go
+++ b/lease/metrics.go
@@ -25,12 +25,12 @@
 
 // NewMetrics registers the lease metrics.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
-	f := telemetry.NewMeters(reg, subsystem)
+	f := telemetry.NewMetricFactory(reg, subsystem)
 	return &Metrics{
-		calls: f.Counters("calls_total",
+		calls: f.CounterVec("calls_total",
 			"Calls to the store for leases, by call and outcome.", "call", "outcome"),
-		lost:    f.Counters("lost_total", "Terms that ended, by reason.", "reason"),
-		held:    f.Gauges("held", "1 for each duty that this node holds.", "duty"),
+		lost:    f.CounterVec("lost_total", "Terms that ended, by reason.", "reason"),
+		held:    f.GaugeVec("held", "1 for each duty that this node holds.", "duty"),
 		holding: make(map[string]bool),
 	}
 }
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -14,7 +14,7 @@
 }
 
 func newMetrics(reg prometheus.Registerer, counts func() Counts) *metrics {
-	f := telemetry.NewMeters(reg, subsystem)
+	f := telemetry.NewMetricFactory(reg, subsystem)
 	counter := func(name, help string, value func(Counts) int64) {
 		f.CounterFunc(name, help, func() float64 { return float64(value(counts())) })
 	}
@@ -29,7 +29,7 @@
 	counter("reconnects_total", "Probes of nodes held for dead.",
 		func(c Counts) int64 { return c.Reconnects })
 	return &metrics{
-		nodes: f.Gauges("nodes", "Nodes in the view, by region and state.", "region", "state"),
+		nodes: f.GaugeVec("nodes", "Nodes in the view, by region and state.", "region", "state"),
 		dropped: f.Counter("dropped_total",
 			"Messages not sent because too many were being sent."),
 	}
--- a/orders/issuer.go
+++ b/orders/issuer.go
@@ -22,10 +22,10 @@
 type Holder interface {
 	// Held returns the current term, checked against the clock now.
 	Held() (lease.Term, bool)
-	// Lose ends the term because an engine has seen a greater number.
-	Lose()
-	// Fenced returns the compare that ties a store write to a term.
-	Fenced(fence int64) store.Compare
+	// Invalidate ends the term because an engine has seen a greater number.
+	Invalidate()
+	// FenceCompare returns the compare that ties a store write to a term.
+	FenceCompare(fence int64) store.Compare
 }
 
 // Issuer issues the orders of one pool while its node holds the duty. It
@@ -123,7 +123,7 @@
 		return
 	}
 	revision, ok, err := i.store.Commit(ctx, store.Txn{
-		Compares: []store.Compare{i.holder.Fenced(r.Fence), {Key: i.key, ModRevision: replaces}},
+		Compares: []store.Compare{i.holder.FenceCompare(r.Fence), {Key: i.key, ModRevision: replaces}},
 		Ops:      []store.Op{{Key: i.key, Value: raw}},
 	})
 	i.metrics.records.WithLabelValues("write", storeOutcome(ok, err)).Inc()
@@ -171,14 +171,14 @@
 		"role", o.Desired.Role, "outcome", outcome(err))
 	i.pool.Sent(t.ID, err, i.now())
 	if i.pool.Fenced() {
-		i.holder.Lose()
+		i.holder.Invalidate()
 	}
 }
 
 func (i *Issuer) send(ctx context.Context, t Target, o Order) error {
 	now := i.now()
 	notAfter := now.Add(i.pool.limits.OrderTimeout)
-	if until := i.pool.term.Until; until.Before(notAfter) {
+	if until := i.pool.term.ValidUntil; until.Before(notAfter) {
 		notAfter = until
 	}
 	ctx, cancel := context.WithTimeout(ctx, notAfter.Sub(now))
--- a/orders/metrics.go
+++ b/orders/metrics.go
@@ -23,15 +23,15 @@
 
 // NewMetrics registers the metrics of orders.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
-	f := telemetry.NewMeters(reg, subsystem)
+	f := telemetry.NewMetricFactory(reg, subsystem)
 	return &Metrics{
-		sent:    f.Counters("sent_total", "Orders to engines, by outcome.", "outcome"),
-		reads:   f.Counters("reads_total", "Reads of engines' states, by outcome.", "outcome"),
-		waits:   f.Counters("waits_total", "Times an issuer began to wait with orders, by reason.", "reason"),
-		retries: f.Counters("retries_total", "Orders to be repeated, by reason.", "reason"),
-		records: f.Counters("records_total", "Reads and writes of records in the store, by call and outcome.", "call", "outcome"),
-		skipped: f.Counters("pools_skipped_total", "Pools left without an issuer, by reason.", "reason"),
-		engines: f.Gauges("engines",
+		sent:    f.CounterVec("sent_total", "Orders to engines, by outcome.", "outcome"),
+		reads:   f.CounterVec("reads_total", "Reads of engines' states, by outcome.", "outcome"),
+		waits:   f.CounterVec("waits_total", "Times an issuer began to wait with orders, by reason.", "reason"),
+		retries: f.CounterVec("retries_total", "Orders to be repeated, by reason.", "reason"),
+		records: f.CounterVec("records_total", "Reads and writes of records in the store, by call and outcome.", "call", "outcome"),
+		skipped: f.CounterVec("pools_skipped_total", "Pools left without an issuer, by reason.", "reason"),
+		engines: f.GaugeVec("engines",
 			"Engines of the pools that this node issues orders to, by state.", "pool", "state"),
 	}
 }
--- a/orders/takeover_test.go
+++ b/orders/takeover_test.go
@@ -36,7 +36,7 @@
 		w.setVersion(2, orders.FencingIgnored)
 		term, ok := old.keeper.Held()
 		is.True(ok)
-		for end := term.Until.Add(-time.Millisecond); w.now.Before(end); {
+		for end := term.ValidUntil.Add(-time.Millisecond); w.now.Before(end); {
 			w.now = w.now.Add(min(time.Second, end.Sub(w.now)))
 			old.issuer.Tick(context.Background(), before, w.targets) // without renewing
 		}
--- a/orders/world_test.go
+++ b/orders/world_test.go
@@ -124,7 +124,7 @@
 		return longest
 	case 1:
 		if term, ok := n.keeper.Held(); ok {
-			return min(longest, term.Until.Sub(n.w.now)-time.Millisecond)
+			return min(longest, term.ValidUntil.Sub(n.w.now)-time.Millisecond)
 		}
 	}
 	return time.Duration(rapid.Int64Range(0, longest.Milliseconds()).Draw(n.w.t, "pause")) * time.Millisecond
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -20,15 +20,15 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "peer")
+	f := telemetry.NewMetricFactory(reg, "peer")
 	return &metrics{
-		bytes: f.Counters("bytes_total",
+		bytes: f.CounterVec("bytes_total",
 			"Bytes exchanged with other nodes, framing included.", "direction"),
-		messages: f.Counters("messages_total",
+		messages: f.CounterVec("messages_total",
 			"Calls and notifications sent to and received from other nodes, by method.", "direction", "method"),
-		dials:       f.Counters("dials_total", "Connections tried, by result.", "result"),
-		refusals:    f.Counters("refusals_total", "Connections and messages of other nodes refused, by reason.", "reason"),
-		failures:    f.Counters("failures_total", "Calls and notifications that failed, by reason.", "reason"),
+		dials:       f.CounterVec("dials_total", "Connections tried, by result.", "result"),
+		refusals:    f.CounterVec("refusals_total", "Connections and messages of other nodes refused, by reason.", "reason"),
+		failures:    f.CounterVec("failures_total", "Calls and notifications that failed, by reason.", "reason"),
 		connections: f.Gauge("inbound_connections", "Connections accepted from other nodes."),
 	}
 }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -30,7 +30,7 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "quarantine")
+	f := telemetry.NewMetricFactory(reg, "quarantine")
 	return &metrics{
 		ends:        f.Counter("target_ends_total", "Targets that ended while they ran requests of this node."),
 		quarantined: f.Counter("put_total", "Requests put into quarantine, by this node's or another's word."),
--- a/replica/metrics.go
+++ b/replica/metrics.go
@@ -24,16 +24,16 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "replica")
+	f := telemetry.NewMetricFactory(reg, "replica")
 	return &metrics{
-		changes: f.Counters("changes_total", "changes taken into the node's copy", "what", "source"),
-		audits:  f.Counters("audits_total", "questions for the store's revision, by result", "result"),
+		changes: f.CounterVec("changes_total", "changes taken into the node's copy", "what", "source"),
+		audits:  f.CounterVec("audits_total", "questions for the store's revision, by result", "result"),
 		storeErrors: f.Counter("store_errors_total",
 			"reads and watches of the store that failed"),
 		invalid: f.Counter("invalid_values_total",
 			"values of the store that could not be read"),
 		evacuated: f.Gauge("evacuated_domains", "failure domains that the operator has evacuated"),
-		unusable: f.Counters("unusable_entries_total",
+		unusable: f.CounterVec("unusable_entries_total",
 			"changes of entries that name no target to use, by what is wrong with them", "fault"),
 	}
 }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -35,24 +35,24 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "router")
+	f := telemetry.NewMetricFactory(reg, "router")
 	histogram := func(name, help string) *prometheus.HistogramVec {
-		return f.Histograms(name, help, latencyBuckets, "service")
+		return f.HistogramVec(name, help, latencyBuckets, "service")
 	}
 	return &metrics{
-		answers:  f.Counters("answers_total", "Answers of targets relayed whole, by service and class of status.", "service", "status"),
-		refusals: f.Counters("refusals_total", "Requests that this node refused or gave up, by reason.", "reason"),
-		retries:  f.Counters("retries_total", "Requests sent to another target, by the reason.", "reason"),
-		cuts:     f.Counters("cuts_total", "Answers that were cut off after they had begun, by the reason.", "reason"),
-		unanswered: f.Counters("unanswered_total",
+		answers:  f.CounterVec("answers_total", "Answers of targets relayed whole, by service and class of status.", "service", "status"),
+		refusals: f.CounterVec("refusals_total", "Requests that this node refused or gave up, by reason.", "reason"),
+		retries:  f.CounterVec("retries_total", "Requests sent to another target, by the reason.", "reason"),
+		cuts:     f.CounterVec("cuts_total", "Answers that were cut off after they had begun, by the reason.", "reason"),
+		unanswered: f.CounterVec("unanswered_total",
 			"Requests whose connection was closed with no byte of an answer, by the cause.", "cause"),
-		overdue: f.Counters("overdue_total",
+		overdue: f.CounterVec("overdue_total",
 			"Times that an attempt which may go elsewhere was overdue, by whether it went and why not.", "outcome"),
-		notices: f.Counters("notices_total",
+		notices: f.CounterVec("notices_total",
 			notice.Help, notice.Label),
-		connections: f.Counters("connections_ended_total",
+		connections: f.CounterVec("connections_ended_total",
 			"Callers' connections ended for want of descriptors: idle ones evicted for new ones, new ones rejected.", "how"),
-		partTokens: f.Counters("part_tokens_total",
+		partTokens: f.CounterVec("part_tokens_total",
 			"Tokens of shared parts that the chosen target lacked, by how it got them and by the reason of the choice.", "how", "reason"),
 		firstByte:  histogram("first_byte_seconds", "Time from a request to the header of its answer."),
 		answerTime: histogram("answer_seconds", "Time from a request to the end of its answer."),
--- a/settings/acceptor/metrics.go
+++ b/settings/acceptor/metrics.go
@@ -21,12 +21,12 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "settings")
+	f := telemetry.NewMetricFactory(reg, "settings")
 	return &metrics{
 		accepted: f.Counter("accepted_documents_total", "Documents that this node accepted."),
-		refused: f.Counters("refused_documents_total",
+		refused: f.CounterVec("refused_documents_total",
 			"Faults for which this node refused a document, by reason.", "reason"),
-		commits: f.Counters("acceptor_commits_total",
+		commits: f.CounterVec("acceptor_commits_total",
 			"Transactions of the acceptor, by result.", "result"),
 	}
 }
--- a/settings/follower/metrics.go
+++ b/settings/follower/metrics.go
@@ -19,16 +19,16 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "settings")
+	f := telemetry.NewMetricFactory(reg, "settings")
 	return &metrics{
 		served:        f.Gauge("revision", "Revision of the settings in force on this node."),
 		held:          f.Gauge("held_revision", "Revision through which this node holds the settings."),
-		unconfirmed:   f.Counters("unconfirmed_total", "Revisions served before another node was known to hold them.").WithLabelValues(),
-		undecodable:   f.Counters("undecodable_records_total", "Accepted documents that this version can't read.").WithLabelValues(),
-		stale:         f.Counters("stale_records_total", "Records dropped because a newer one was held, by source.", "source"),
-		gaps:          f.Counters("gaps_total", "Deltas that showed that changes were missed, by source.", "source"),
-		watchRestarts: f.Counters("watch_restarts_total", "Watches of a relay that ended, by reason.", "reason"),
-		announcements: f.Counters("announcements_total", "New revisions announced to a peer, by result.", "result"),
-		pulls:         f.Counters("peer_pulls_total", "Pulls from a peer, by result.", "result"),
+		unconfirmed:   f.CounterVec("unconfirmed_total", "Revisions served before another node was known to hold them.").WithLabelValues(),
+		undecodable:   f.CounterVec("undecodable_records_total", "Accepted documents that this version can't read.").WithLabelValues(),
+		stale:         f.CounterVec("stale_records_total", "Records dropped because a newer one was held, by source.", "source"),
+		gaps:          f.CounterVec("gaps_total", "Deltas that showed that changes were missed, by source.", "source"),
+		watchRestarts: f.CounterVec("watch_restarts_total", "Watches of a relay that ended, by reason.", "reason"),
+		announcements: f.CounterVec("announcements_total", "New revisions announced to a peer, by result.", "result"),
+		pulls:         f.CounterVec("peer_pulls_total", "Pulls from a peer, by result.", "result"),
 	}
 }
--- a/targets/metrics.go
+++ b/targets/metrics.go
@@ -21,14 +21,14 @@
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
-	f := telemetry.NewMeters(reg, "targets")
+	f := telemetry.NewMetricFactory(reg, "targets")
 	return &metrics{
-		reads: f.Counters("list_reads_total",
+		reads: f.CounterVec("list_reads_total",
 			"Reads of the VM list, by result: new, same, stale (older than known) or failed.", "result"),
-		words: f.Counters("leaving_words_total",
+		words: f.CounterVec("leaving_words_total",
 			"Targets first heard to be leaving, by source: list, answer or peer.", "source"),
 		version: f.Gauge("list_version", "Version of the VM list in force."),
-		count: f.Gauges("known",
+		count: f.GaugeVec("known",
 			"Targets in the snapshot, by state: live, or leaving (which includes those held down).", "state"),
 	}
 }
--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -37,7 +37,7 @@
 func NewAsyncWriter(out io.Writer, reg prometheus.Registerer) *AsyncWriter {
 	w := &AsyncWriter{
 		out: out, notify: make(chan struct{}, 1),
-		dropped: NewMeters(reg, "log").Counter("dropped_lines_total",
+		dropped: NewMetricFactory(reg, "log").Counter("dropped_lines_total",
 			"Log lines dropped since the output did not keep up."),
 	}
 	go w.run()
