--- a/admission/entry.go
+++ b/admission/entry.go
@@ -45,7 +45,7 @@
 	e.rank()
 	if len(e.order) == 0 {
 		s.metrics.requests.WithLabelValues(outcomeNoTarget).Inc()
-		return Grant{}, problem.New(problem.NoTarget, problem.RanNo, r.Pool.Name).After(saturatedRetryAfter)
+		return Grant{}, problem.New(problem.NoTarget, problem.NotRun, r.Pool.Name).WithRetryAfter(saturatedRetryAfter)
 	}
 	if p.pools[r.Pool.Pool].cells == 0 {
 		return e.placeLocally(reasonNoOwner)
@@ -76,7 +76,7 @@
 			return Grant{}, e.refuse(outcomeRefused, last.reply)
 		case answerCanceled:
 			e.service.metrics.requests.WithLabelValues(outcomeCanceled).Inc()
-			return Grant{}, problem.New(problem.DeadlineExceeded, problem.RanNo, "while waiting for a place")
+			return Grant{}, problem.New(problem.DeadlineExceeded, problem.NotRun, "while waiting for a place")
 		default:
 			return e.placeLocally(last.reason)
 		}
@@ -127,7 +127,7 @@
 	if after <= 0 {
 		after = saturatedRetryAfter
 	}
-	return problem.New(reason, problem.RanNo, e.request.Pool.Name).After(after)
+	return problem.New(reason, problem.NotRun, e.request.Pool.Name).WithRetryAfter(after)
 }
 
 // placeLocally places the request by the local estimate. The owner gets the place with the
--- a/admission/local.go
+++ b/admission/local.go
@@ -95,7 +95,7 @@
 	now := l.now()
 	mean, ok := l.mean(pool, r, now)
 	if !ok {
-		return targets.Target{}, nil, problem.New(problem.NoTarget, problem.RanNo, r.Pool.Name).After(saturatedRetryAfter)
+		return targets.Target{}, nil, problem.New(problem.NoTarget, problem.NotRun, r.Pool.Name).WithRetryAfter(saturatedRetryAfter)
 	}
 	best, bestScore, bestFailed := -1, uint64(0), false
 	for i, t := range pool {
@@ -110,7 +110,7 @@
 		}
 	}
 	if best < 0 {
-		return targets.Target{}, nil, problem.New(problem.Saturated, problem.RanNo, r.Pool.Name).After(saturatedRetryAfter)
+		return targets.Target{}, nil, problem.New(problem.Saturated, problem.NotRun, r.Pool.Name).WithRetryAfter(saturatedRetryAfter)
 	}
 	return pool[best], l.count(pool[best].ID), nil
 }
--- a/admission/service_test.go
+++ b/admission/service_test.go
@@ -359,7 +359,7 @@
 			p, ok := err.(*problem.Problem)
 			is.True(ok)
 			is.True(slices.Contains(tt.reasons, p.Reason))
-			is.Equal(p.Ran, problem.RanNo)
+			is.Equal(p.Execution, problem.NotRun)
 			is.True(p.RetryAfter > 0)
 		})
 	}
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -70,11 +70,11 @@
 // if no earlier attempt with the key was run either.
 func refuse(clear bool, reason string) *problem.Problem {
 	if clear {
-		return problem.New(problem.ClaimsUnavailable, problem.RanNo, reason).After(jitter(refusedRetry))
+		return problem.New(problem.ClaimsUnavailable, problem.NotRun, reason).WithRetryAfter(jitter(refusedRetry))
 	}
-	return problem.New(problem.ClaimsUnavailable, problem.RanUnknown,
+	return problem.New(problem.ClaimsUnavailable, problem.MayHaveRun,
 		reason+": this attempt was not run; whether an earlier one with the same key was can't be told now",
-	).After(jitter(refusedRetry))
+	).WithRetryAfter(jitter(refusedRetry))
 }
 
 // decide asks owners until the attempt has a verdict or is refused for the
--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -294,11 +294,11 @@
 	}
 }
 
-func checkRefusal(is *is.I, err error, ran problem.Ran) {
+func checkRefusal(is *is.I, err error, ran problem.Execution) {
 	is.Helper()
 	var p *problem.Problem
 	is.True(errors.As(err, &p))
 	is.Equal(p.Reason, problem.ClaimsUnavailable)
-	is.Equal(p.Ran, ran)
+	is.Equal(p.Execution, ran)
 	is.True(p.RetryAfter > 0)
 }
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -94,10 +94,10 @@
 		name  string
 		warm  bool // the owner has read the log before
 		fault func(*faultyStore)
-		ran   problem.Ran // of the refusal, if there is one
+		ran   problem.Execution // of the refusal, if there is one
 	}{
-		{"refuses, the owner knows the key", true, func(s *faultyStore) { s.refuse = true }, problem.RanNo},
-		{"refuses, the owner knows nothing", false, func(s *faultyStore) { s.refuse = true }, problem.RanUnknown},
+		{"refuses, the owner knows the key", true, func(s *faultyStore) { s.refuse = true }, problem.NotRun},
+		{"refuses, the owner knows nothing", false, func(s *faultyStore) { s.refuse = true }, problem.MayHaveRun},
 		{"loses an answer after the effect", false, func(s *faultyStore) { s.loseAnswers = 1 }, ""},
 		{"loses many answers after the effect", true, func(s *faultyStore) { s.loseAnswers = 5 }, ""},
 	} {
@@ -216,7 +216,7 @@
 		cancel() // the caller goes away
 	}()
 	_, err := entry.Claim(ctx, testKey, testBody)
-	checkRefusal(is, err, problem.RanUnknown) // it can't tell what the owner knows
+	checkRefusal(is, err, problem.MayHaveRun) // it can't tell what the owner knows
 	f.link(owner, linkUp)
 	is.Equal(claim(t, f.nodes[owner], testKey, testBody).State, Granted)
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -93,12 +93,12 @@
 
 func (g *Gateway) authenticate(c *call) error {
 	if c.settings = g.settings.Snapshot(); c.settings == nil {
-		return problem.New(problem.NoSettings, problem.RanNo, "").After(settingsRetryAfter)
+		return problem.New(problem.NoSettings, problem.NotRun, "").WithRetryAfter(settingsRetryAfter)
 	}
 	key, _ := bearerToken(c.req)
 	ws, ok := c.settings.Workspace(key)
 	if !ok {
-		return problem.New(problem.Unauthenticated, problem.RanNo, "")
+		return problem.New(problem.Unauthenticated, problem.NotRun, "")
 	}
 	c.workspace = ws
 	return nil
@@ -114,11 +114,11 @@
 }
 
 // ran states whether a target may have run the request so far.
-func (c *call) ran() problem.Ran {
+func (c *call) ran() problem.Execution {
 	if c.sent.Load() {
-		return problem.RanUnknown
+		return problem.MayHaveRun
 	}
-	return problem.RanNo
+	return problem.NotRun
 }
 
 // workContext returns the context of the work at targets. It ends when the caller disconnects,
--- a/gateway/chat.go
+++ b/gateway/chat.go
@@ -53,7 +53,7 @@
 	}
 	model, ok := c.settings.Model(c.workspace.Team, chat.Model)
 	if !ok {
-		return problem.New(problem.UnknownModel, problem.RanNo, chat.Model)
+		return problem.New(problem.UnknownModel, problem.NotRun, chat.Model)
 	}
 	c.chat = chatKey(c, chat)
 	f := forwardRequest{
@@ -78,13 +78,13 @@
 func parseChat(body []byte) (chatRequest, error) {
 	var chat chatRequest
 	if err := json.Unmarshal(body, &chat); err != nil {
-		return chat, problem.New(problem.BadRequest, problem.RanNo, "body is not a chat completion request: "+err.Error())
+		return chat, problem.New(problem.BadRequest, problem.NotRun, "body is not a chat completion request: "+err.Error())
 	}
 	if chat.Model == "" {
-		return chat, problem.New(problem.BadRequest, problem.RanNo, "\"model\" is missing")
+		return chat, problem.New(problem.BadRequest, problem.NotRun, "\"model\" is missing")
 	}
 	if len(chat.Messages) == 0 {
-		return chat, problem.New(problem.BadRequest, problem.RanNo, "\"messages\" is empty")
+		return chat, problem.New(problem.BadRequest, problem.NotRun, "\"messages\" is empty")
 	}
 	return chat, nil
 }
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -25,7 +25,7 @@
 		return g.forward(c, f)
 	}
 	if g.claimer == nil {
-		return problem.New(problem.ClaimsUnavailable, problem.RanNo, "this node records no claims").After(claimRetryAfter)
+		return problem.New(problem.ClaimsUnavailable, problem.NotRun, "this node records no claims").WithRetryAfter(claimRetryAfter)
 	}
 	v, err := g.claimer.Claim(c.req.Context(), claims.Key{
 		Team: c.workspace.Team, Workspace: c.workspace.Name, Idempotency: key,
@@ -72,13 +72,13 @@
 		_, _ = c.w.Write(v.Answer.Body)
 		return nil
 	case v.State == claims.Done:
-		return problem.New(problem.ClaimDone, problem.RanYes, "")
+		return problem.New(problem.ClaimAnswerExpired, problem.WasRun, "")
 	case v.State == claims.InProgress:
-		return problem.New(problem.ClaimInProgress, problem.RanUnknown, "").After(max(v.RetryAfter, time.Second))
+		return problem.New(problem.ClaimInProgress, problem.MayHaveRun, "").WithRetryAfter(max(v.RetryAfter, time.Second))
 	case v.State == claims.Mismatch:
-		return problem.New(problem.ClaimConflict, problem.RanNo, "")
+		return problem.New(problem.ClaimConflict, problem.NotRun, "")
 	default:
-		return problem.New(problem.ClaimUnknown, problem.RanUnknown, "")
+		return problem.New(problem.ClaimUnknown, problem.MayHaveRun, "")
 	}
 }
 
@@ -87,7 +87,7 @@
 	if errors.As(err, &p) {
 		return p
 	}
-	return problem.New(problem.ClaimsUnavailable, problem.RanNo, err.Error()).After(claimRetryAfter)
+	return problem.New(problem.ClaimsUnavailable, problem.NotRun, err.Error()).WithRetryAfter(claimRetryAfter)
 }
 
 func fingerprint(f forwardRequest) claims.Fingerprint {
--- a/gateway/claim_test.go
+++ b/gateway/claim_test.go
@@ -104,17 +104,17 @@
 		targets []*target
 		status  int
 		reason  problem.Reason
-		ran     problem.Ran
+		ran     problem.Execution
 		outcome claims.Outcome
 	}{
 		{"answered", lettersPath, []*target{okTarget()}, 200, "", "", claims.Ran},
 		{"the service's own 503", lettersPath, []*target{statusTarget(503)}, 503, "", "", claims.Ran},
-		{"aborted", lettersPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
-		{"declared not run", lettersPath, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
-		{"no target", lettersPath, nil, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
-		{"aborted chat is not repeated", chatPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, claims.Lost},
+		{"aborted", lettersPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.Lost},
+		{"declared not run", lettersPath, []*target{notRunTarget()}, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
+		{"no target", lettersPath, nil, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
+		{"aborted chat is not repeated", chatPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.Lost},
 		{"chat refused, then answered", chatPath, []*target{statusTarget(503), okTarget()}, 200, "", "", claims.Ran},
-		{"chat refused everywhere", chatPath, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.RanNo, claims.NotRun},
+		{"chat refused everywhere", chatPath, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -166,11 +166,11 @@
 		state  claims.State
 		status int
 		reason problem.Reason
-		ran    problem.Ran
+		ran    problem.Execution
 	}{
-		{"in progress", claims.InProgress, 409, problem.ClaimInProgress, problem.RanUnknown},
-		{"unknown", claims.Unknown, 409, problem.ClaimUnknown, problem.RanUnknown},
-		{"answer not held", claims.Done, 409, problem.ClaimDone, problem.RanYes},
+		{"in progress", claims.InProgress, 409, problem.ClaimInProgress, problem.MayHaveRun},
+		{"unknown", claims.Unknown, 409, problem.ClaimUnknown, problem.MayHaveRun},
+		{"answer not held", claims.Done, 409, problem.ClaimAnswerExpired, problem.WasRun},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -192,7 +192,7 @@
 			is.Equal(a.header.Get("X-Should-Retry") == "", tt.state == claims.InProgress)
 			other := n.send(t, "POST", lettersPath, keyA, "other", HeaderIdempotencyKey, "k")
 			is.Equal(other.status, 422)
-			is.True(other.isRefusal(problem.ClaimConflict, problem.RanNo))
+			is.True(other.isRefusal(problem.ClaimConflict, problem.NotRun))
 			is.Equal(tg.count(), 1)
 		})
 	}
@@ -203,14 +203,14 @@
 	tg := okTarget()
 	without := newNode(t, handlers(tg))
 	a := without.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
-	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.NotRun))
 
 	claimer := newFakeClaimer()
 	claimer.err = errors.New("store out")
 	n := newNode(t, handlers(tg), withClaimer(claimer))
 	a = n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.Equal(a.status, 503)
-	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.NotRun))
 	is.True(a.header.Get("Retry-After") != "")
 	is.Equal(tg.count(), 0)
 }
@@ -225,7 +225,7 @@
 	n := newNode(t, handlers(tg, okTarget()), withClaimer(claimer))
 	a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.Equal(a.status, 503)
-	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.RanNo))
+	is.True(a.isRefusal(problem.ClaimsUnavailable, problem.NotRun))
 	is.Equal(tg.count(), 0)
 	is.Equal(len(n.admitter.requests), 1) // isn't retried on another target
 }
@@ -244,14 +244,14 @@
 		handler(w, r)
 	}
 	a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
-	is.True(a.isRefusal(problem.Internal, problem.RanUnknown))
+	is.True(a.isRefusal(problem.Internal, problem.MayHaveRun))
 	got, _ := claimer.finished(t, "k")
 	is.Equal(got, claims.Lost)
 	is.True(n.released())
 
 	n.Gateway.admitter = nil
 	a = n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k2")
-	is.True(a.isRefusal(problem.Internal, problem.RanNo))
+	is.True(a.isRefusal(problem.Internal, problem.NotRun))
 	_, recorded := claimer.finished(t, "k2")
 	is.True(!recorded)
 }
--- a/gateway/executions_test.go
+++ b/gateway/executions_test.go
@@ -56,7 +56,7 @@
 			rw.WriteHeader(http.StatusInternalServerError)
 		},
 		func(rw http.ResponseWriter, _ *http.Request) { // refuses and states that it ran nothing
-			problem.New(problem.Saturated, problem.RanNo, "").Write(rw)
+			problem.New(problem.Saturated, problem.NotRun, "").Write(rw)
 		},
 		func(rw http.ResponseWriter, r *http.Request) { // refuses, a service after a partial effect
 			if r.URL.Path != chatPath {
@@ -103,7 +103,7 @@
 				claimer.finished(t, id)
 			}
 			runs := counter.count(id)
-			if a.problem.Ran == problem.RanNo && runs != before {
+			if a.problem.Execution == problem.NotRun && runs != before {
 				rt.Fatalf("refused as not run (%q), but it was run", a.problem.Detail)
 			}
 			if a.status == http.StatusOK && runs == 0 {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -121,19 +121,19 @@
 func (g *Gateway) refuse(ctx context.Context, c *call, err error) error {
 	var p *problem.Problem
 	if !errors.As(err, &p) {
-		p = problem.New(problem.Internal, problem.RanNo, err.Error())
+		p = problem.New(problem.Internal, problem.NotRun, err.Error())
 	}
 	switch {
 	case c.req.Context().Err() != nil:
-		p = problem.New(problem.CallerGone, p.Ran, p.Detail)
+		p = problem.New(problem.CallerGone, p.Execution, p.Detail)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		p = problem.New(problem.DeadlineExceeded, p.Ran, p.Detail)
+		p = problem.New(problem.DeadlineExceeded, p.Execution, p.Detail)
 	}
 	refused := *p
-	if refused.Ran == problem.RanNo {
-		refused.Ran = c.ran()
+	if refused.Execution == problem.NotRun {
+		refused.Execution = c.ran()
 	}
-	if refused.Ran != problem.RanNo {
+	if refused.Execution != problem.NotRun {
 		refused.RetryAfter = 0
 	}
 	return &refused
@@ -145,15 +145,15 @@
 	case errors.Is(e.cause, upstream.ErrGateClosed):
 		reason = problem.ClaimsUnavailable
 	case v == retry.BudgetEmpty:
-		reason = problem.RetryBudget
+		reason = problem.RetryBudgetExhausted
 	case v == retry.DeadlineNear:
 		reason = problem.DeadlineExceeded
 	}
-	ran := problem.RanUnknown
+	ran := problem.MayHaveRun
 	if e.progress <= retry.Refused {
-		ran = problem.RanNo
+		ran = problem.NotRun
 	}
-	return problem.New(reason, ran, e.cause.Error()).After(targetRetryAfter)
+	return problem.New(reason, ran, e.cause.Error()).WithRetryAfter(targetRetryAfter)
 }
 
 func (g *Gateway) pause(ctx context.Context, number int) {
@@ -274,9 +274,9 @@
 		return false
 	}
 	var p struct {
-		Ran problem.Ran `json:"ran"`
+		Ran problem.Execution `json:"ran"`
 	}
-	return json.Unmarshal(raw, &p) == nil && p.Ran == problem.RanNo
+	return json.Unmarshal(raw, &p) == nil && p.Ran == problem.NotRun
 }
 
 type prefixedBody struct {
--- a/gateway/generation.go
+++ b/gateway/generation.go
@@ -80,10 +80,10 @@
 // reconnect relays the rest of a stream, also if another node relayed its beginning. It starts
 // no generation: if the engine no longer holds this one, the caller gets a refusal.
 func (g *Gateway) reconnect(c *call, f forwardRequest) error {
-	notResumable := problem.New(problem.StreamNotResumable, problem.RanUnknown, "")
+	notResumable := problem.New(problem.StreamNotResumable, problem.MayHaveRun, "")
 	gen, offset, ok := parseEventID(c, c.req.Header.Get(HeaderLastEventID))
 	if !ok || !f.stream {
-		return problem.New(problem.BadRequest, problem.RanNo, HeaderLastEventID+" is not an event ID of a stream")
+		return problem.New(problem.BadRequest, problem.NotRun, HeaderLastEventID+" is not an event ID of a stream")
 	}
 	t, ok := g.findTarget(f.admission.Pool.Pool, gen.target)
 	if !ok {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -84,7 +84,7 @@
 			return admission.Grant{Target: t, Release: f.release}, nil
 		}
 	}
-	return admission.Grant{}, problem.New(problem.NoTarget, problem.RanNo, r.Pool.Name).After(time.Second)
+	return admission.Grant{}, problem.New(problem.NoTarget, problem.NotRun, r.Pool.Name).WithRetryAfter(time.Second)
 }
 
 func (f *fakeAdmitter) release(r admission.Result) {
@@ -198,8 +198,8 @@
 }
 
 // isRefusal reports whether the response is a refusal with this reason and ran.
-func (a response) isRefusal(reason problem.Reason, ran problem.Ran) bool {
-	return a.problem.Reason == reason && a.problem.Ran == ran
+func (a response) isRefusal(reason problem.Reason, ran problem.Execution) bool {
+	return a.problem.Reason == reason && a.problem.Execution == ran
 }
 
 // send sends a request with an API key, if not empty, and pairs of header names and values.
--- a/gateway/input.go
+++ b/gateway/input.go
@@ -26,7 +26,7 @@
 	h := c.req.Header
 	if headerBytes(h)+len(c.req.RequestURI) > maxHeaderBytes {
 		c.w.Header().Set("Connection", "close")
-		return problem.New(problem.HeadersTooLarge, problem.RanNo, "limit "+strconv.Itoa(maxHeaderBytes)+" bytes")
+		return problem.New(problem.HeadersTooLarge, problem.NotRun, "limit "+strconv.Itoa(maxHeaderBytes)+" bytes")
 	}
 	limits := []struct {
 		name string
@@ -39,7 +39,7 @@
 	}
 	for _, l := range limits {
 		if v, ok := h[http.CanonicalHeaderKey(l.name)]; ok && !validToken(v[0], l.max) {
-			return problem.New(problem.BadRequest, problem.RanNo,
+			return problem.New(problem.BadRequest, problem.NotRun,
 				l.name+" is not 1 to "+strconv.Itoa(l.max)+" printable ASCII characters")
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 	seconds, err := strconv.ParseFloat(h, 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
-		return 0, problem.New(problem.BadRequest, problem.RanNo, HeaderRequestTimeout+" is not a positive number of seconds")
+		return 0, problem.New(problem.BadRequest, problem.NotRun, HeaderRequestTimeout+" is not a positive number of seconds")
 	}
 	seconds = min(seconds, maxRequestTimeout.Seconds())
 	return time.Duration(seconds * float64(time.Second)), nil
@@ -95,11 +95,11 @@
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, problem.New(problem.BodyTooLarge, problem.RanNo, err.Error())
+		return nil, problem.New(problem.BodyTooLarge, problem.NotRun, err.Error())
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return nil, problem.New(problem.BodyTimeout, problem.RanNo, "")
+		return nil, problem.New(problem.BodyTimeout, problem.NotRun, "")
 	default:
-		return nil, problem.New(problem.BadRequest, problem.RanNo, "body: "+err.Error())
+		return nil, problem.New(problem.BadRequest, problem.NotRun, "body: "+err.Error())
 	}
 }
 
--- a/gateway/input_test.go
+++ b/gateway/input_test.go
@@ -61,7 +61,7 @@
 			is.Equal(a.status, tt.status)
 			is.Equal(a.header.Get("Content-Type"), problem.ContentType)
 			is.Equal(a.problem.Reason, tt.reason)
-			is.Equal(a.problem.Ran, problem.RanNo)
+			is.Equal(a.problem.Execution, problem.NotRun)
 			is.Equal(a.problem.Status, tt.status)
 			is.True(a.problem.Remedy != "")
 			is.Equal(target.count(), 0)               // no target ran it
@@ -142,7 +142,7 @@
 	var p problem.Problem
 	is.NoErr(json.NewDecoder(resp.Body).Decode(&p))
 	is.Equal(p.Reason, problem.BodyTimeout)
-	is.Equal(p.Ran, problem.RanNo)
+	is.Equal(p.Execution, problem.NotRun)
 }
 
 // The connection of a caller that stalls in the middle of its header is closed. net/http sends
@@ -181,7 +181,7 @@
 	n.Gateway.admitter = nil // any call panics
 	a := n.chat(t, chatBody)
 	is.Equal(a.status, 500)
-	is.True(a.isRefusal(problem.Internal, problem.RanNo))
+	is.True(a.isRefusal(problem.Internal, problem.NotRun))
 	is.Equal(testutil.ToFloat64(n.Gateway.metrics.panics), 1.0)
 	is.Equal(n.send(t, "GET", "/v1/models", keyA, "").status, 200)
 }
@@ -192,7 +192,7 @@
 	n.settings.snap = nil
 	a := n.chat(t, chatBody)
 	is.Equal(a.status, 503)
-	is.True(a.isRefusal(problem.NoSettings, problem.RanNo))
+	is.True(a.isRefusal(problem.NoSettings, problem.NotRun))
 	is.Equal(a.header.Get("Retry-After"), "2")
 }
 
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -113,7 +113,7 @@
 func withCooldown(err error, cooldown time.Duration) error {
 	var p *problem.Problem
 	if cooldown > 0 && errors.As(err, &p) && p.Reason == problem.NoTarget {
-		return p.After(cooldown)
+		return p.WithRetryAfter(cooldown)
 	}
 	return err
 }
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -53,7 +53,7 @@
 		n := newNode(t, handlers(one, two))
 		n.chat(t, chatBody)
 		a := n.chat(t, chatBody)
-		is.True(a.isRefusal(problem.NoTarget, problem.RanNo))
+		is.True(a.isRefusal(problem.NoTarget, problem.NotRun))
 		is.True(a.header.Get("Retry-After") == "30" || a.header.Get("Retry-After") == "31")
 		is.Equal(one.count()+two.count(), 2)
 	})
--- a/gateway/outcome_test.go
+++ b/gateway/outcome_test.go
@@ -21,7 +21,7 @@
 
 func notRunTarget() *target {
 	return &target{handler: func(w http.ResponseWriter, _ *http.Request) {
-		problem.New(problem.Saturated, problem.RanNo, "").Write(w)
+		problem.New(problem.Saturated, problem.NotRun, "").Write(w)
 	}}
 }
 
@@ -35,30 +35,30 @@
 		targets []*target
 		status  int
 		reason  problem.Reason
-		ran     problem.Ran
+		ran     problem.Execution
 		runs    []int
 	}{
 		{"chat refused, then answered", chat, []*target{statusTarget(503), okTarget()}, 200, "", "", []int{1, 1}},
-		{"chat refused everywhere", chat, []*target{statusTarget(503), statusTarget(429)}, 503, problem.NoTarget, problem.RanNo, []int{1, 1}},
+		{"chat refused everywhere", chat, []*target{statusTarget(503), statusTarget(429)}, 503, problem.NoTarget, problem.NotRun, []int{1, 1}},
 		{"chat aborted, then answered", chat, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
-		{"chat aborted, then no target", chat, []*target{abortTarget()}, 503, problem.NoTarget, problem.RanUnknown, []int{1}},
-		{"chat aborted, then refused", chat, []*target{abortTarget(), statusTarget(503)}, 503, problem.NoTarget, problem.RanUnknown, []int{1, 1}},
-		{"chat aborted at every attempt", chat, []*target{abortTarget(), abortTarget(), abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 1, 1, 0}},
+		{"chat aborted, then no target", chat, []*target{abortTarget()}, 503, problem.NoTarget, problem.MayHaveRun, []int{1}},
+		{"chat aborted, then refused", chat, []*target{abortTarget(), statusTarget(503)}, 503, problem.NoTarget, problem.MayHaveRun, []int{1, 1}},
+		{"chat aborted at every attempt", chat, []*target{abortTarget(), abortTarget(), abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, []int{1, 1, 1, 0}},
 		{"chat 500, then answered", chat, []*target{statusTarget(500), okTarget()}, 200, "", "", []int{1, 1}},
 		{"chat 500, then no target", chat, []*target{statusTarget(500)}, 500, "", "", []int{1}},
 		{"chat 500, then refused", chat, []*target{statusTarget(500), statusTarget(503)}, 500, "", "", []int{1, 1}},
 		{"read 502, then aborted", read, []*target{statusTarget(502), abortTarget(), abortTarget()}, 502, "", "", []int{1, 1, 1}},
 		{"read 500, then 504", read, []*target{statusTarget(500), statusTarget(504)}, 504, "", "", []int{1, 1}},
 		{"chat's own 400", chat, []*target{statusTarget(400), okTarget()}, 400, "", "", []int{1, 0}},
-		{"letter aborted", letter, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
+		{"letter aborted", letter, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, []int{1, 0}},
 		{"letter's own 503 may follow a partial effect", letter, []*target{statusTarget(503), okTarget()}, 503, "", "", []int{1, 0}},
 		{"letter's own 500", letter, []*target{statusTarget(500), okTarget()}, 500, "", "", []int{1, 0}},
 		{"letter declared not run, then answered", letter, []*target{notRunTarget(), okTarget()}, 200, "", "", []int{1, 1}},
-		{"letter declared not run everywhere", letter, []*target{notRunTarget()}, 503, problem.NoTarget, problem.RanNo, []int{1}},
-		{"unrepeatable GET aborted", readOnce, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.RanUnknown, []int{1, 0}},
+		{"letter declared not run everywhere", letter, []*target{notRunTarget()}, 503, problem.NoTarget, problem.NotRun, []int{1}},
+		{"unrepeatable GET aborted", readOnce, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, []int{1, 0}},
 		{"read aborted, then answered", read, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
 		{"read 503, then answered", read, []*target{statusTarget(503), okTarget()}, 200, "", "", []int{1, 1}},
-		{"read 503, then no target", read, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.RanUnknown, []int{1}},
+		{"read 503, then no target", read, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.MayHaveRun, []int{1}},
 		{"repeatable POST aborted, then answered", search, []*target{abortTarget(), okTarget()}, 200, "", "", []int{1, 1}},
 	}
 	for _, tt := range tests {
@@ -70,12 +70,12 @@
 			is.NoErr(a.err)
 			is.Equal(a.status, tt.status)
 			is.Equal(a.problem.Reason, tt.reason)
-			is.Equal(a.problem.Ran, tt.ran)
+			is.Equal(a.problem.Execution, tt.ran)
 			for i, want := range tt.runs {
 				is.Equal(tt.targets[i].count(), want)
 			}
 			is.True(n.released())
-			if tt.ran == problem.RanUnknown {
+			if tt.ran == problem.MayHaveRun {
 				is.Equal(a.header.Get("X-Should-Retry"), "false")
 				is.Equal(a.header.Get("Retry-After"), "") // doesn't advise the caller to repeat it
 			}
@@ -110,7 +110,7 @@
 		}
 		is.Equal(up.count(), 2*retryBurst)
 		n.admitter.targets = []targets.Target{down}
-		is.True(n.send(t, "POST", path, keyA, chatBody).isRefusal(problem.NoTarget, problem.RanNo))
+		is.True(n.send(t, "POST", path, keyA, chatBody).isRefusal(problem.NoTarget, problem.NotRun))
 	}
 }
 
@@ -193,7 +193,7 @@
 			a := n.send(t, tt.method, tt.path, keyA, "", header...)
 			is.True(d.runs.Load() <= 2) // the second request is run at most once
 			if a.status != 200 {
-				is.Equal(a.problem.Ran, problem.RanUnknown)
+				is.Equal(a.problem.Execution, problem.MayHaveRun)
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 			answered++
 			continue
 		}
-		is.True(a.isRefusal(problem.RetryBudget, problem.RanNo))
+		is.True(a.isRefusal(problem.RetryBudgetExhausted, problem.NotRun))
 		is.Equal(a.header.Get("Retry-After"), "1")
 	}
 	is.True(answered >= retryBurst)
@@ -236,7 +236,7 @@
 	n := newNode(t, handlers(tg))
 	a := n.chat(t, chatBody, HeaderRequestTimeout, "0.2")
 	is.Equal(a.status, 504)
-	is.True(a.isRefusal(problem.DeadlineExceeded, problem.RanUnknown))
+	is.True(a.isRefusal(problem.DeadlineExceeded, problem.MayHaveRun))
 	is.True(tg.header(0).Get(HeaderRequestTimeout) != "")
 	<-ended
 	is.True(n.released())
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -53,9 +53,9 @@
 	r.counted = d.MustCallDone
 	switch d.Verdict {
 	case quarantine.SuspectInProgress:
-		return problem.New(problem.SuspectBusy, problem.RanNo, "").After(d.RetryAfter)
+		return problem.New(problem.SuspectInProgress, problem.NotRun, "").WithRetryAfter(d.RetryAfter)
 	case quarantine.Quarantined:
-		return problem.New(problem.Quarantined, problem.RanNo, "fingerprint "+r.fingerprint.String()).After(d.RetryAfter)
+		return problem.New(problem.Quarantined, problem.NotRun, "fingerprint "+r.fingerprint.String()).WithRetryAfter(d.RetryAfter)
 	case quarantine.Allowed:
 	}
 	return nil
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -102,7 +102,7 @@
 	}
 	is.Equal(terminations(), 3)
 	a := n.chat(t, terminatingChat)
-	is.True(a.isRefusal(problem.Quarantined, problem.RanNo))
+	is.True(a.isRefusal(problem.Quarantined, problem.NotRun))
 	is.Equal(a.status, http.StatusServiceUnavailable)
 	is.True(a.header.Get("Retry-After") != "")
 	is.Equal(n.chat(t, chatBody).status, http.StatusOK)
@@ -126,7 +126,7 @@
 	aborting := abortTarget()
 	n := newNode(t, handlers(aborting))
 	for range 5 {
-		is.True(!n.chat(t, chatBody).isRefusal(problem.Quarantined, problem.RanNo))
+		is.True(!n.chat(t, chatBody).isRefusal(problem.Quarantined, problem.NotRun))
 	}
 	is.Equal(aborting.count(), 5)
 }
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -101,14 +101,14 @@
 	p.RequestID = c.id
 	g.metrics.requests.WithLabelValues(c.kind, outcomeRefused).Inc()
 	g.metrics.refusals.WithLabelValues(string(p.Reason)).Inc()
-	c.log().Warn("refused", "reason", p.Reason, "ran", p.Ran, "detail", p.Detail)
+	c.log().Warn("refused", "reason", p.Reason, "ran", p.Execution, "detail", p.Detail)
 	switch {
 	case !c.w.wroteHeader:
 		c.w.wroteProblem = true
 		p.Write(c.w)
 	case c.w.streaming:
 		g.setWriteDeadline(c)
-		_, _ = c.w.Write(p.Event())
+		_, _ = c.w.Write(p.SSEEvent())
 	}
 }
 
@@ -121,7 +121,7 @@
 		w.Header()[name] = values
 	}
 	g.metrics.refusals.WithLabelValues(string(reason)).Inc()
-	problem.New(reason, problem.RanNo, r.Request.Method+" "+r.Request.URL.Path).Write(w.ResponseWriter)
+	problem.New(reason, problem.NotRun, r.Request.Method+" "+r.Request.URL.Path).Write(w.ResponseWriter)
 }
 
 func (g *Gateway) healthz(_ *restful.Request, w *restful.Response) {
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -22,7 +22,7 @@
 	name := r.PathParameter("name")
 	svc, ok := c.settings.Service(c.workspace.Team, name)
 	if !ok {
-		return problem.New(problem.UnknownService, problem.RanNo, name)
+		return problem.New(problem.UnknownService, problem.NotRun, name)
 	}
 	path, err := servicePath(c.req.URL)
 	if err != nil {
@@ -57,7 +57,7 @@
 	p := callPath{escaped: afterName(u.EscapedPath()), plain: afterName(u.Path)}
 	for segment := range strings.SplitSeq(p.plain, "/") {
 		if segment == "." || segment == ".." {
-			return p, problem.New(problem.BadRequest, problem.RanNo, "the path has a \""+segment+"\" segment")
+			return p, problem.New(problem.BadRequest, problem.NotRun, "the path has a \""+segment+"\" segment")
 		}
 	}
 	return p, nil
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -272,7 +272,7 @@
 	n := newNode(t, handlers(overloadTarget(opening)))
 	a := n.chat(t, streamReq)
 	is.Equal(a.status, 503)
-	is.True(a.isRefusal(problem.NoTarget, problem.RanNo))
+	is.True(a.isRefusal(problem.NoTarget, problem.NotRun))
 }
 
 // firstEvents reads a stream until count events have arrived, disconnects, and returns the last
@@ -320,7 +320,7 @@
 
 	otherWorkspace := two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, "r1", HeaderLastEventID, last)
 	is.Equal(otherWorkspace.status, 410)
-	is.True(otherWorkspace.isRefusal(problem.StreamNotResumable, problem.RanUnknown))
+	is.True(otherWorkspace.isRefusal(problem.StreamNotResumable, problem.MayHaveRun))
 	forged := "r1~" + workspaceDigest(settings.WorkspaceRef{Team: "a", Name: "wa"}, strings.Repeat("0", 32))
 	otherWorkspace = two.send(t, "POST", chatPath, keyB, streamReq, HeaderRequestID, forged, HeaderLastEventID, last)
 	is.Equal(otherWorkspace.status, 410)
@@ -401,7 +401,7 @@
 	outcome, _ := claimer.finished(t, "k")
 	is.Equal(outcome, claims.Lost)
 	a := n.chat(t, streamReq, HeaderIdempotencyKey, "k")
-	is.True(a.isRefusal(problem.ClaimUnknown, problem.RanUnknown))
+	is.True(a.isRefusal(problem.ClaimUnknown, problem.MayHaveRun))
 }
 
 // An unstreamed response truncated by a service is never delivered as a complete one.
@@ -416,7 +416,7 @@
 	}
 	is := is.New(t)
 	n := newNode(t, handlers(half(100)))
-	is.True(n.send(t, "POST", lettersPath, keyA, "").isRefusal(problem.TargetFailed, problem.RanUnknown))
+	is.True(n.send(t, "POST", lettersPath, keyA, "").isRefusal(problem.TargetFailed, problem.MayHaveRun))
 	n = newNode(t, handlers(half(2*maxBufferedResponse)))
 	a := n.send(t, "POST", lettersPath, keyA, "")
 	is.Equal(a.status, 200)
--- a/lab/bench/node.go
+++ b/lab/bench/node.go
@@ -102,7 +102,7 @@
 			return admission.Grant{Target: t, Release: func(admission.Result) {}}, nil
 		}
 	}
-	return admission.Grant{}, problem.New(problem.NoTarget, problem.RanNo, "").After(time.Second)
+	return admission.Grant{}, problem.New(problem.NoTarget, problem.NotRun, "").WithRetryAfter(time.Second)
 }
 
 // Serve serves h on a free loopback port until stop is called.
--- a/lab/load/answer.go
+++ b/lab/load/answer.go
@@ -36,8 +36,8 @@
 		} `json:"prompt_tokens_details"`
 	} `json:"usage"`
 	Error *struct {
-		Message string      `json:"message"`
-		Ran     problem.Ran `json:"ran"`
+		Message string            `json:"message"`
+		Ran     problem.Execution `json:"ran"`
 	} `json:"error"`
 }
 
@@ -94,7 +94,7 @@
 
 // brokenStream is a stream that ended before its [DONE] without a word.
 func brokenStream(lastEvent, content string, first time.Duration, cause error) error {
-	f := &failure{ran: problem.RanUnknown, cause: errors.Newf("stream ended early: %v", cause)}
+	f := &failure{ran: problem.MayHaveRun, cause: errors.Newf("stream ended early: %v", cause)}
 	if lastEvent != "" {
 		f.partial = &partial{lastEvent: lastEvent, content: content, first: first}
 	}
@@ -106,7 +106,7 @@
 func streamFailure(c chunk, delivered int) error {
 	f := &failure{told: true, ran: c.Error.Ran, cause: errors.Newf("stream error: %s", c.Error.Message)}
 	if f.ran == "" || delivered > 0 {
-		f.ran = problem.RanUnknown
+		f.ran = problem.MayHaveRun
 	}
 	return f
 }
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -67,7 +67,7 @@
 // failure is an attempt that brought no whole answer.
 type failure struct {
 	reason     problem.Reason
-	ran        problem.Ran
+	ran        problem.Execution
 	told       bool // by a problem document or an error event
 	partial    *partial
 	retryAfter time.Duration
@@ -81,11 +81,11 @@
 // faults it also repeats what may be repeated after a broken connection.
 func (f *failure) callAgain(req request, underFaults bool) bool {
 	switch f.reason {
-	case problem.ClaimUnknown, problem.ClaimDone, problem.ClaimConflict, problem.StreamNotResumable:
+	case problem.ClaimUnknown, problem.ClaimAnswerExpired, problem.ClaimConflict, problem.StreamNotResumable:
 		return false
 	}
 	repeatable := req.kind != kindNotice && underFaults && !f.told
-	return f.ran == problem.RanNo || req.key != "" || f.partial != nil || repeatable
+	return f.ran == problem.NotRun || req.key != "" || f.partial != nil || repeatable
 }
 
 // send asks through the nodes until there is an answer or no further try is
@@ -170,7 +170,7 @@
 	}
 	var fail *failure
 	if !errors.As(err, &fail) {
-		fail = &failure{ran: problem.RanUnknown, cause: err}
+		fail = &failure{ran: problem.MayHaveRun, cause: err}
 	}
 	return answer{}, fail
 }
@@ -213,9 +213,9 @@
 func connectFailure(err error, sent bool) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" && !sent {
-		return &failure{ran: problem.RanNo, cause: err}
+		return &failure{ran: problem.NotRun, cause: err}
 	}
-	return &failure{ran: problem.RanUnknown, cause: err}
+	return &failure{ran: problem.MayHaveRun, cause: err}
 }
 
 // readProblem reads a refusal (RFC 9457). One that doesn't say whether the
@@ -224,9 +224,9 @@
 	const maxBytes = 64 << 10
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	var p problem.Problem
-	f := &failure{ran: problem.RanUnknown, cause: errors.Newf("status %d: %.300s", resp.StatusCode, raw)}
-	if json.Unmarshal(raw, &p) == nil && p.Ran != "" {
-		f.told, f.ran, f.reason = true, p.Ran, p.Reason
+	f := &failure{ran: problem.MayHaveRun, cause: errors.Newf("status %d: %.300s", resp.StatusCode, raw)}
+	if json.Unmarshal(raw, &p) == nil && p.Execution != "" {
+		f.told, f.ran, f.reason = true, p.Execution, p.Reason
 	}
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
 		f.retryAfter = time.Duration(seconds) * time.Second
--- a/lab/load/ledger.go
+++ b/lab/load/ledger.go
@@ -59,10 +59,10 @@
 }
 
 // told records what the caller of an attempt was told.
-func (l *ledger) told(n int, ran problem.Ran) {
+func (l *ledger) told(n int, ran problem.Execution) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.attempts[n].toldNoRun = ran == problem.RanNo
+	l.attempts[n].toldNoRun = ran == problem.NotRun
 }
 
 // number returns the number in an ID of this run.
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -74,14 +74,14 @@
 	switch {
 	case f.fault == "notice told unknown, run again" && key != "" && first:
 		run()
-		problem.New(problem.TargetFailed, problem.RanUnknown, "").Write(w)
+		problem.New(problem.TargetFailed, problem.MayHaveRun, "").Write(w)
 		return
 	case f.fault == "notice run, answer gone" && key != "":
 		run()
-		problem.New(problem.ClaimDone, problem.RanYes, "").Write(w)
+		problem.New(problem.ClaimAnswerExpired, problem.WasRun, "").Write(w)
 		return
 	case f.fault == "notice unknown is final" && key != "":
-		problem.New(problem.ClaimUnknown, problem.RanUnknown, "").Write(w)
+		problem.New(problem.ClaimUnknown, problem.MayHaveRun, "").Write(w)
 		return
 	case f.fault == "answer crossed":
 		r.URL.Path = "/services/s/works/other"
@@ -97,14 +97,14 @@
 	first := f.once(fmt.Sprint(len(req.Messages)))
 	switch {
 	case f.fault == "refused once" && first:
-		problem.New(problem.Saturated, problem.RanNo, "").Write(w)
+		problem.New(problem.Saturated, problem.NotRun, "").Write(w)
 		return
 	case f.fault == "refused always":
-		problem.New(problem.Saturated, problem.RanNo, "").Write(w)
+		problem.New(problem.Saturated, problem.NotRun, "").Write(w)
 		return
 	case f.fault == "told not run, but run" && first:
 		f.chats[id]++
-		problem.New(problem.Saturated, problem.RanNo, "").Write(w)
+		problem.New(problem.Saturated, problem.NotRun, "").Write(w)
 		return
 	case f.fault == "run twice":
 		f.chats[id]++
@@ -112,7 +112,7 @@
 	answer := engine.Answer(req.Messages, req.MaxTokens)
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-ID")); err == nil {
 		if f.chats[id] == 0 {
-			problem.New(problem.StreamNotResumable, problem.RanUnknown, "").Write(w)
+			problem.New(problem.StreamNotResumable, problem.MayHaveRun, "").Write(w)
 			return
 		}
 		answer = answer[last:]
@@ -256,5 +256,5 @@
 	_, fail = r.do(context.Background(), srv.URL, "id-2", req)
 	is.True(fail != nil)
 	is.Equal(asked.Load(), int64(2))
-	is.Equal(fail.ran, problem.RanUnknown)
+	is.Equal(fail.ran, problem.MayHaveRun)
 }
--- a/lab/load/result.go
+++ b/lab/load/result.go
@@ -97,9 +97,9 @@
 		return outcomeWhole
 	case fail == nil:
 		return outcomeWrong
-	case fail.ran == problem.RanNo:
+	case fail.ran == problem.NotRun:
 		return outcomeRefused
-	case fail.reason == problem.ClaimUnknown, fail.reason == problem.ClaimDone:
+	case fail.reason == problem.ClaimUnknown, fail.reason == problem.ClaimAnswerExpired:
 		return outcomeUnanswered
 	case fail.told:
 		return outcomeFailed
--- a/router/ends.go
+++ b/router/ends.go
@@ -139,7 +139,7 @@
 	x.guarded = d.MustCallDone
 	switch d.Verdict {
 	case quarantine.SuspectInProgress:
-		return &failure{reason: problem.SuspectBusy, cause: errSuspectBusy, retryAfter: d.RetryAfter}
+		return &failure{reason: problem.SuspectInProgress, cause: errSuspectBusy, retryAfter: d.RetryAfter}
 	case quarantine.Quarantined:
 		return &failure{reason: problem.Quarantined, cause: errQuarantined, retryAfter: d.RetryAfter}
 	case quarantine.Allowed:
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -123,17 +123,17 @@
 func (x *exchange) prepare() error {
 	var err error
 	if x.call, err = x.router.dialect.DecodeCallerHeader(x.req); err != nil {
-		return problem.New(problem.BadRequest, problem.RanNo, err.Error())
+		return problem.New(problem.BadRequest, problem.NotRun, err.Error())
 	}
 	if !x.awaitCatalog() {
-		return problem.New(problem.NoSettings, problem.RanNo, "").After(startRetryAfter)
+		return problem.New(problem.NoSettings, problem.NotRun, "").WithRetryAfter(startRetryAfter)
 	}
 	if err := x.readBody(); err != nil {
 		return err
 	}
 	x.read = true
 	if x.router.conns.isClosing() {
-		return problem.New(problem.Stopping, problem.RanNo, "").After(stopRetryAfter)
+		return problem.New(problem.NodeStopping, problem.NotRun, "").WithRetryAfter(stopRetryAfter)
 	}
 	x.catalog = x.router.replica.Catalog()
 	_, x.revision = x.router.replica.Versions()
@@ -166,7 +166,7 @@
 		return nil
 	}
 	if limit > 0 && x.req.ContentLength > limit {
-		return problem.New(problem.BodyTooLarge, problem.RanNo, "")
+		return problem.New(problem.BodyTooLarge, problem.NotRun, "")
 	}
 	body := io.Reader(x.req.Body)
 	if limit > 0 {
@@ -174,10 +174,10 @@
 	}
 	var err error
 	if x.body, err = readAll(body, x.req.ContentLength); err != nil {
-		return problem.New(problem.CallerGone, problem.RanNo, err.Error())
+		return problem.New(problem.CallerGone, problem.NotRun, err.Error())
 	}
 	if limit > 0 && int64(len(x.body)) > limit {
-		return problem.New(problem.BodyTooLarge, problem.RanNo, "")
+		return problem.New(problem.BodyTooLarge, problem.NotRun, "")
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 func (x *exchange) matchRoute() error {
 	route, ok := x.catalog.Match(x.req.Host, x.req.URL.EscapedPath())
 	if !ok {
-		return problem.New(problem.NotFound, problem.RanNo, "no route")
+		return problem.New(problem.NotFound, problem.NotRun, "no route")
 	}
 	x.route = route
 	x.service = route.PickService(routing.Hash(x.call.ID))
@@ -223,7 +223,7 @@
 	if x.route.Anonymous || !x.catalog.RequiresKey() {
 		return nil
 	}
-	return problem.New(problem.Unauthenticated, problem.RanNo, "")
+	return problem.New(problem.Unauthenticated, problem.NotRun, "")
 }
 
 // remaining returns how long the answer is still waited for; 0 without expired means no limit.
@@ -253,10 +253,10 @@
 	}
 	var p *problem.Problem
 	if !errors.As(err, &p) {
-		p = problem.New(problem.Internal, problem.RanUnknown, err.Error())
+		p = problem.New(problem.Internal, problem.MayHaveRun, err.Error())
 	}
 	if x.callerGone() {
-		p = problem.New(problem.CallerGone, p.Ran, p.Detail)
+		p = problem.New(problem.CallerGone, p.Execution, p.Detail)
 	}
 	x.logRefused(p)
 	if x.answerBegun {
@@ -297,7 +297,7 @@
 
 func (x *exchange) logRefused(p *problem.Problem) {
 	x.router.log.Warn("refused", append(x.logFields(),
-		"reason", p.Reason, "ran", p.Ran, "detail", p.Detail, "begun", x.answerBegun,
+		"reason", p.Reason, "ran", p.Execution, "detail", p.Detail, "begun", x.answerBegun,
 		"delivered", x.summary.delivered, "first_byte_ms", x.summary.firstByte.Milliseconds(),
 		"retry_after_ms", p.RetryAfter.Milliseconds())...)
 }
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -47,7 +47,7 @@
 // conclude ends a request whose last attempt failed.
 func (x *exchange) conclude(ctx context.Context, fail *failure, v retry.Verdict) error {
 	if v == retry.BudgetEmpty && fail.progress <= retry.Refused {
-		fail = &failure{progress: fail.progress, reason: problem.RetryBudget, cause: fail.cause}
+		fail = &failure{progress: fail.progress, reason: problem.RetryBudgetExhausted, cause: fail.cause}
 	}
 	return x.giveUp(ctx, fail)
 }
@@ -66,9 +66,9 @@
 // refusal returns the refusal for a failure. It states that the request was not run only if no
 // target may have run it.
 func (x *exchange) refusal(ctx context.Context, f *failure) error {
-	ran := problem.RanUnknown
+	ran := problem.MayHaveRun
 	if x.executions == 0 {
-		ran = problem.RanNo
+		ran = problem.NotRun
 	}
 	reason, cause := f.reason, f.cause
 	if errors.Is(context.Cause(ctx), errStopping) {
@@ -77,16 +77,16 @@
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		reason = problem.DeadlineExceeded
-	case errors.Is(cause, errStopping) && (ran == problem.RanNo || x.answerBegun):
-		reason = problem.Stopping
-	case reason == problem.TargetFailed && ran == problem.RanNo:
+	case errors.Is(cause, errStopping) && (ran == problem.NotRun || x.answerBegun):
+		reason = problem.NodeStopping
+	case reason == problem.TargetFailed && ran == problem.NotRun:
 		reason = problem.TargetRefused
-	case ran != problem.RanNo && reason != problem.DeadlineExceeded:
+	case ran != problem.NotRun && reason != problem.DeadlineExceeded:
 		reason = problem.TargetFailed
 	}
 	p := problem.New(reason, ran, cause.Error())
-	if ran == problem.RanNo {
-		p.After(x.retryAfter(f))
+	if ran == problem.NotRun {
+		p.WithRetryAfter(x.retryAfter(f))
 	}
 	return p
 }
