--- a/admission/ask.go
+++ b/admission/ask.go
@@ -43,7 +43,7 @@
 // the view changes meanwhile, and asks again without the granted target if that is leaving.
 func (e *acquisition) askCell(ctx context.Context, index int) answer {
 	s := e.service
-	k := holds.Key{Pool: e.request.Pool.Pool, Region: e.region, Cell: index, Of: e.plan.pools[e.request.Pool.Pool].cells}
+	k := holds.CellKey{Pool: e.request.Pool.Pool, Region: e.region, Cell: index, Of: e.plan.pools[e.request.Pool.Pool].cells}
 	exclude := e.request.Exclude
 	owner, ok := e.plan.owner(k)
 	var a answer
@@ -70,7 +70,7 @@
 
 // nextOwner returns the owner to ask after a node gave no usable answer, and whether there
 // is another one.
-func (s *Service) nextOwner(k holds.Key, asked membership.Node, a answer) (membership.Node, bool) {
+func (s *Service) nextOwner(k holds.CellKey, asked membership.Node, a answer) (membership.Node, bool) {
 	if a.reply.Leaving {
 		s.recordLeaving(holds.From{Node: asked.ID, Incarnation: asked.Incarnation})
 	}
@@ -85,12 +85,12 @@
 }
 
 // askOwner asks one node. If a grant arrives after the timeout, the place is released.
-func (e *acquisition) askOwner(ctx context.Context, owner membership.Node, k holds.Key, exclude []string) answer {
+func (e *acquisition) askOwner(ctx context.Context, owner membership.Node, k holds.CellKey, exclude []string) answer {
 	s := e.service
 	h := holderOf(owner)
 	seq := s.table.Begin(s.now(), k, h)
 	m := holds.Acquire{
-		From: s.self, Key: k, Seq: seq, Chat: e.request.Chat, Workspace: workspaceName(e.request),
+		From: s.self, CellKey: k, Seq: seq, Chat: e.request.Chat, Workspace: workspaceName(e.request),
 		Weight: e.request.Workspace.Weight, Urgency: e.request.Priority, Exclude: exclude,
 		Returning: e.request.Returning, Last: e.isLastCell(), LeavingNodes: s.leavingNodes(),
 	}
@@ -146,7 +146,7 @@
 
 // abandonAsk cancels an ask that got no answer. The owner may still grant it, so a release
 // is sent, unless the ask certainly never reached the owner.
-func (s *Service) abandonAsk(ctx context.Context, owner membership.Node, k holds.Key, seq uint64, err error) answer {
+func (s *Service) abandonAsk(ctx context.Context, owner membership.Node, k holds.CellKey, seq uint64, err error) answer {
 	s.table.GiveUp(k, seq)
 	reason := failureReason(err)
 	if reason != reasonUnreachable && reason != reasonBreaker {
@@ -173,7 +173,7 @@
 }
 
 // handleReply converts an owner's reply to an answer.
-func (e *acquisition) handleReply(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
+func (e *acquisition) handleReply(r holds.Reply, outcome string, owner membership.Node, k holds.CellKey, seq uint64) answer {
 	s := e.service
 	if r.Code != holds.Granted {
 		s.table.GiveUp(k, seq)
@@ -197,7 +197,7 @@
 
 // handleGrant records the place, or releases it if the target is leaving or gone according
 // to this node's list.
-func (e *acquisition) handleGrant(r holds.Reply, outcome string, owner membership.Node, k holds.Key, seq uint64) answer {
+func (e *acquisition) handleGrant(r holds.Reply, outcome string, owner membership.Node, k holds.CellKey, seq uint64) answer {
 	s := e.service
 	t, ok := s.plan().liveTarget(k, r.Target)
 	if !ok {
@@ -205,7 +205,7 @@
 		s.sendRelease(owner.ID, k, seq, Unknown)
 		return answer{kind: answerGone, reply: r}
 	}
-	s.table.Grant(s.now(), k, holderOf(owner), holds.Detail{
+	s.table.Grant(s.now(), k, holderOf(owner), holds.Place{
 		Seq: seq, Target: t.ID, Workspace: workspaceName(e.request), Chat: e.request.Chat,
 	})
 	return answer{kind: answerGranted, outcome: outcome, place: place{key: k, seq: seq, target: t, done: s.local.countSent(t.ID)}}
--- a/admission/cell/admit.go
+++ b/admission/cell/admit.go
@@ -18,21 +18,21 @@
 
 // admit refuses an Ask for which the whole pool has no capacity. It returns Granted if the
 // Ask may be placed.
-func (c *Cell) admit(now time.Time, a Ask) Verdict {
+func (c *Cell) admit(now time.Time, a AcquireRequest) Decision {
 	c.checkPause(now)
 	if c.recovery.recovering() {
-		return Verdict{Outcome: Full, Reason: ReasonRecovering, RetryAfter: retryAfter(now, a)}
+		return Decision{Outcome: Full, Reason: ReasonRecovering, RetryAfter: retryAfter(now, a)}
 	}
 	hard := c.own.Capacity * c.cfg.MaxInFlight
 	over := c.shares.exceedsShare(a.Workspace, a.Weight, hard)
 	fill := c.utilization()
 	if over && fill > utilizationLimit(c.cfg.Reserve, a.Urgency, true) {
-		return Verdict{Outcome: Refused, Reason: ReasonWorkspaceLimit, RetryAfter: retryAfter(now, a)}
+		return Decision{Outcome: Refused, Reason: ReasonWorkspaceLimit, RetryAfter: retryAfter(now, a)}
 	}
 	if fill > utilizationLimit(c.cfg.Reserve, a.Urgency, false) {
-		return Verdict{Outcome: Refused, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
+		return Decision{Outcome: Refused, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
 	}
-	return Verdict{Outcome: Granted}
+	return Decision{Outcome: Granted}
 }
 
 // utilization is the used share of the pool's hard capacity, counting one more request.
@@ -58,7 +58,7 @@
 
 // retryAfter returns the Retry-After of a refusal. It is spread by a hash of the request, so
 // that refused callers don't return at the same time.
-func retryAfter(now time.Time, a Ask) time.Duration {
+func retryAfter(now time.Time, a AcquireRequest) time.Duration {
 	h := routing.Rank(routing.Hash(a.Request), uint64(now.UnixNano()))
 	d := retryMin + time.Duration(h%uint64(retrySpread))
 	return d + d*time.Duration(min(max(a.Urgency, 0), maxUrgency))/maxUrgency
--- a/admission/cell/admit_test.go
+++ b/admission/cell/admit_test.go
@@ -62,9 +62,9 @@
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
-	c.Acquire(epoch, Ask{Request: "r", Workspace: "w", Weight: 3})
+	c.Acquire(epoch, AcquireRequest{Request: "r", Workspace: "w", Weight: 3})
 	c.Resync(Holder{}, nil)
-	c.Resync(Holder{}, []Hold{{Request: "r", Target: "a", Workspace: "w"}})
+	c.Resync(Holder{}, []Place{{Request: "r", Target: "a", Workspace: "w"}})
 	is.Equal(c.shares.weights, 3.0)
 }
 
@@ -73,9 +73,9 @@
 func cellWithLoad(n int) *Cell {
 	c := New(Config{LoadFactor: 100, MaxInFlight: 20, Reserve: 0.2})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
-	var holds []Hold
+	var holds []Place
 	for i := range n {
-		holds = append(holds, Hold{Request: fmt.Sprint(i), Target: "a", Workspace: "greedy"})
+		holds = append(holds, Place{Request: fmt.Sprint(i), Target: "a", Workspace: "greedy"})
 	}
 	c.Resync(Holder{Node: "greedy"}, holds)
 	return c
@@ -85,16 +85,16 @@
 	for _, tt := range []struct {
 		name    string
 		load    int
-		ask     Ask
+		ask     AcquireRequest
 		outcome Outcome
 		reason  Reason
 	}{
-		{"far from full, no workspace is limited", 10, Ask{Workspace: "greedy", Urgency: 7}, Granted, ReasonNone},
-		{"nearly full, over the share", 16, Ask{Workspace: "greedy"}, Refused, ReasonWorkspaceLimit},
-		{"nearly full, under the share", 16, Ask{Workspace: "modest"}, Granted, ReasonNone},
-		{"lowest urgency is refused before the pool is full", 17, Ask{Workspace: "modest", Urgency: 7}, Refused, ReasonSaturated},
-		{"urgency 0 is granted where urgency 7 is refused", 19, Ask{Workspace: "modest"}, Granted, ReasonNone},
-		{"full pool refuses urgency 0", 20, Ask{Workspace: "modest"}, Refused, ReasonSaturated},
+		{"far from full, no workspace is limited", 10, AcquireRequest{Workspace: "greedy", Urgency: 7}, Granted, ReasonNone},
+		{"nearly full, over the share", 16, AcquireRequest{Workspace: "greedy"}, Refused, ReasonWorkspaceLimit},
+		{"nearly full, under the share", 16, AcquireRequest{Workspace: "modest"}, Granted, ReasonNone},
+		{"lowest urgency is refused before the pool is full", 17, AcquireRequest{Workspace: "modest", Urgency: 7}, Refused, ReasonSaturated},
+		{"urgency 0 is granted where urgency 7 is refused", 19, AcquireRequest{Workspace: "modest"}, Granted, ReasonNone},
+		{"full pool refuses urgency 0", 20, AcquireRequest{Workspace: "modest"}, Refused, ReasonSaturated},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -122,7 +122,7 @@
 			u := rapid.IntRange(0, 7).Draw(rt, "urgency")
 			over := c.shares.exceedsShare(w, weights[w], hard)
 			used := float64(c.own.InFlight+1) / float64(hard)
-			v := c.Acquire(epoch, Ask{Request: fmt.Sprint(i), Workspace: w, Weight: weights[w], Urgency: u})
+			v := c.Acquire(epoch, AcquireRequest{Request: fmt.Sprint(i), Workspace: w, Weight: weights[w], Urgency: u})
 			is := is.New(rt)
 			if over && v.Outcome == Granted {
 				is.True(used <= 1-DefaultReserve)
@@ -144,8 +144,8 @@
 		load := rapid.IntRange(0, 20).Draw(rt, "load")
 		workspace := rapid.SampledFrom([]string{"greedy", "modest"}).Draw(rt, "workspace")
 		urgency := rapid.IntRange(0, 6).Draw(rt, "urgency")
-		less := cellWithLoad(load).Acquire(epoch, Ask{Request: "less", Workspace: workspace, Urgency: urgency + 1})
-		more := cellWithLoad(load).Acquire(epoch, Ask{Request: "more", Workspace: workspace, Urgency: urgency})
+		less := cellWithLoad(load).Acquire(epoch, AcquireRequest{Request: "less", Workspace: workspace, Urgency: urgency + 1})
+		more := cellWithLoad(load).Acquire(epoch, AcquireRequest{Request: "more", Workspace: workspace, Urgency: urgency})
 		is.New(rt).True(less.Outcome != Granted || more.Outcome == Granted)
 	})
 }
@@ -154,7 +154,7 @@
 	is := is.New(t)
 	var all []time.Duration
 	for i := range 1000 {
-		d := retryAfter(epoch, Ask{Request: fmt.Sprint(i)})
+		d := retryAfter(epoch, AcquireRequest{Request: fmt.Sprint(i)})
 		is.True(d >= retryMin && d < retryMin+retrySpread)
 		all = append(all, d)
 	}
--- a/admission/cell/announcer.go
+++ b/admission/cell/announcer.go
@@ -5,8 +5,8 @@
 // Announcer decides when an owner sends its cell's totals to the owners of the pool's other
 // cells: soon after a large change, otherwise at a long interval.
 type Announcer struct {
-	Quiet time.Duration // longest time between two announcements
-	Gap   time.Duration // shortest time
+	MaxInterval time.Duration // longest time between two announcements
+	MinInterval time.Duration // shortest time
 
 	last Totals
 	at   time.Time
@@ -14,8 +14,8 @@
 
 // Defaults of an Announcer.
 const (
-	DefaultQuiet = 5 * time.Second
-	DefaultGap   = 500 * time.Millisecond
+	DefaultMaxInterval = 5 * time.Second
+	DefaultMinInterval = 500 * time.Millisecond
 	// minRelativeChange is the share of the last announced requests in flight, and
 	// minAbsoluteChange the number of requests, by which the totals must change to be announced
 	// before the longest interval has passed.
@@ -27,8 +27,8 @@
 func (a *Announcer) Due(now time.Time, t Totals) bool {
 	age := now.Sub(a.at)
 	switch {
-	case a.at.IsZero(), age >= orDefault(a.Quiet, DefaultQuiet):
-	case age >= orDefault(a.Gap, DefaultGap) && a.changed(t):
+	case a.at.IsZero(), age >= orDefault(a.MaxInterval, DefaultMaxInterval):
+	case age >= orDefault(a.MinInterval, DefaultMinInterval) && a.changed(t):
 	default:
 		return false
 	}
--- a/admission/cell/announcer_test.go
+++ b/admission/cell/announcer_test.go
@@ -16,12 +16,12 @@
 		want  bool
 	}{
 		{"unchanged isn't announced", time.Second, first, false},
-		{"unchanged is announced after the longest interval", DefaultQuiet, first, true},
+		{"unchanged is announced after the longest interval", DefaultMaxInterval, first, true},
 		{"small change isn't announced early", time.Second, Totals{105, 10}, false},
 		{"rise is announced early", time.Second, Totals{110, 10}, true},
 		{"fall is announced early", time.Second, Totals{90, 10}, true},
 		{"change of capacity is announced early", time.Second, Totals{100, 9}, true},
-		{"nothing is announced within the shortest interval", DefaultGap / 2, Totals{200, 9}, false},
+		{"nothing is announced within the shortest interval", DefaultMinInterval / 2, Totals{200, 9}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/admission/cell/bench_test.go
+++ b/admission/cell/bench_test.go
@@ -21,7 +21,7 @@
 				r := requests[i%len(requests)]
 				c.Release(h, r)
 				// A new chat each time, so that no remembered target shortens the scan.
-				c.Acquire(epoch, Ask{Holder: h, Request: r, Chat: uint64(i), Workspace: "w", Urgency: 3})
+				c.Acquire(epoch, AcquireRequest{Holder: h, Request: r, Chat: uint64(i), Workspace: "w", Urgency: 3})
 			}
 		})
 	}
@@ -31,11 +31,11 @@
 func evenlyLoadedCell(n, each int) *Cell {
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 64})
 	targets := make([]Target, n)
-	var holds []Hold
+	var holds []Place
 	for i := range targets {
 		targets[i] = Target{ID: fmt.Sprintf("engine-%04d", i), Capacity: 1}
 		for j := range each {
-			holds = append(holds, Hold{Request: fmt.Sprint(i, "/", j), Target: targets[i].ID, Chat: uint64(i*each + j)})
+			holds = append(holds, Place{Request: fmt.Sprint(i, "/", j), Target: targets[i].ID, Chat: uint64(i*each + j)})
 		}
 	}
 	c.SetTargets(targets)
@@ -48,7 +48,7 @@
 	const chats = 1 << 17
 	for b.Loop() {
 		before := heapBytes()
-		m := NewMemory(chats)
+		m := NewLastTargets(chats)
 		for i := range uint64(chats) {
 			m.Put(epoch, i*0x9e3779b97f4a7c15, "engine-0001")
 		}
--- a/admission/cell/cell.go
+++ b/admission/cell/cell.go
@@ -11,8 +11,8 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// Of returns the index of the cell that a target belongs to, in a pool of that many cells.
-func Of(target string, cells int) int {
+// IndexOf returns the index of the cell that a target belongs to, in a pool of that many cells.
+func IndexOf(target string, cells int) int {
 	return int(routing.Hash(target) % uint64(max(cells, 1)))
 }
 
@@ -23,9 +23,9 @@
 	index    map[string]int // target ID to its index in slots
 	own      Totals
 	others   Totals
-	holds    map[Holder]map[string]Hold
+	holds    map[Holder]map[string]Place
 	shares   shares
-	memory   *Memory
+	memory   *LastTargets
 	recovery recovery
 	trend    trend
 	// health has the targets that failed recently. suspended is the capacity of the suspended
@@ -54,9 +54,9 @@
 	return &Cell{
 		cfg:    cfg,
 		index:  make(map[string]int),
-		holds:  make(map[Holder]map[string]Hold),
+		holds:  make(map[Holder]map[string]Place),
 		shares: newShares(),
-		memory: NewMemory(cfg.Memory),
+		memory: NewLastTargets(cfg.MaxChats),
 		health: make(map[string]*health),
 	}
 }
@@ -64,8 +64,8 @@
 // Configure changes the pool's settings.
 func (c *Cell) Configure(cfg Config) {
 	cfg = withDefaults(cfg)
-	if cfg.Memory != c.cfg.Memory {
-		c.memory.resize(cfg.Memory)
+	if cfg.MaxChats != c.cfg.MaxChats {
+		c.memory.resize(cfg.MaxChats)
 	}
 	c.cfg = cfg
 }
@@ -73,7 +73,7 @@
 func withDefaults(cfg Config) Config {
 	cfg.NewFactor = orDefault(cfg.NewFactor, DefaultNewFactor)
 	cfg.Reserve = max(orDefault(cfg.Reserve, DefaultReserve), 0)
-	cfg.Memory = orDefault(cfg.Memory, DefaultMemory)
+	cfg.MaxChats = orDefault(cfg.MaxChats, DefaultMemory)
 	cfg.MaxPause = orDefault(cfg.MaxPause, DefaultMaxPause)
 	return cfg
 }
@@ -127,9 +127,9 @@
 // SetOthers sets the load of the pool's other cells, as their owners last reported it.
 func (c *Cell) SetOthers(t Totals) { c.others = t }
 
-// Memory returns the record of where chats last ran. A new owner merges the records of the
+// LastTargets returns the record of where chats last ran. A new owner merges the records of the
 // previous owner, if it is reachable, and of the entry nodes.
-func (c *Cell) Memory() *Memory { return c.memory }
+func (c *Cell) LastTargets() *LastTargets { return c.memory }
 
 // Totals returns the load of this cell's usable targets. During a takeover the requests of
 // holders that haven't reported are estimated. While Recovering, before half of them have
@@ -140,9 +140,9 @@
 
 // Acquire decides an Ask and counts the place if granted. It is idempotent: a repeated Ask
 // with the same holder and request gets the same place.
-func (c *Cell) Acquire(now time.Time, a Ask) Verdict {
+func (c *Cell) Acquire(now time.Time, a AcquireRequest) Decision {
 	if h, ok := c.holds[a.Holder][a.Request]; ok && !slices.Contains(a.Exclude, h.Target) {
-		return Verdict{Outcome: Granted, Target: h.Target}
+		return Decision{Outcome: Granted, Target: h.Target}
 	}
 	if v := c.admit(now, a); v.Outcome != Granted {
 		return v
@@ -156,19 +156,19 @@
 	return c.grant(now, a, &c.slots[i])
 }
 
-func (c *Cell) grant(now time.Time, a Ask, s *slot) Verdict {
-	hold := Hold{Request: a.Request, Target: s.id, Workspace: a.Workspace, Chat: a.Chat}
+func (c *Cell) grant(now time.Time, a AcquireRequest, s *slot) Decision {
+	hold := Place{Request: a.Request, Target: s.id, Workspace: a.Workspace, Chat: a.Chat}
 	hold.granted, hold.incarnation = true, s.incarnation
 	if !s.usable {
 		hold.trial = c.beginTrial(s.id)
 	}
 	c.add(a.Holder, hold)
 	c.memory.Put(now, a.Chat, s.id)
-	return Verdict{Outcome: Granted, Target: s.id}
+	return Decision{Outcome: Granted, Target: s.id}
 }
 
-func (c *Cell) fullVerdict(now time.Time, a Ask) Verdict {
-	v := Verdict{Outcome: Full, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
+func (c *Cell) fullVerdict(now time.Time, a AcquireRequest) Decision {
+	v := Decision{Outcome: Full, Reason: ReasonSaturated, RetryAfter: retryAfter(now, a)}
 	if !slices.ContainsFunc(c.slots, func(s slot) bool { return s.usable && !slices.Contains(a.Exclude, s.id) }) {
 		v.Reason = ReasonNoTarget
 	}
@@ -188,7 +188,7 @@
 // Resync replaces all places of a holder by those that it reports. It rebuilds the count
 // after a change of owner and repairs lost releases. The list must be the holder's newest
 // and include the places whose grants are still on their way to it.
-func (c *Cell) Resync(h Holder, holds []Hold) {
+func (c *Cell) Resync(h Holder, holds []Place) {
 	keep := make(map[string]bool, len(holds))
 	for _, hold := range holds {
 		keep[hold.Request] = true
@@ -202,8 +202,8 @@
 	c.recovery.markReported(h)
 }
 
-// Forget drops all places of a holder, for example of a dead node.
-func (c *Cell) Forget(h Holder) {
+// DropHolder drops all places of a holder, for example of a dead node.
+func (c *Cell) DropHolder(h Holder) {
 	for _, hold := range c.holds[h] {
 		c.remove(hold)
 	}
@@ -220,16 +220,16 @@
 	return out
 }
 
-func (c *Cell) holder(h Holder) map[string]Hold {
+func (c *Cell) holder(h Holder) map[string]Place {
 	m := c.holds[h]
 	if m == nil {
-		m = make(map[string]Hold)
+		m = make(map[string]Place)
 		c.holds[h] = m
 	}
 	return m
 }
 
-func (c *Cell) add(h Holder, place Hold) {
+func (c *Cell) add(h Holder, place Place) {
 	m := c.holder(h)
 	old, ok := m[place.Request]
 	switch {
@@ -247,12 +247,12 @@
 	}
 }
 
-func (c *Cell) remove(place Hold) {
+func (c *Cell) remove(place Place) {
 	c.endTrial(place)
 	c.uncount(place)
 }
 
-func (c *Cell) uncount(place Hold) {
+func (c *Cell) uncount(place Place) {
 	c.count(place.Target, -1)
 	c.shares.add(place.Workspace, -1)
 }
--- a/admission/cell/cell_test.go
+++ b/admission/cell/cell_test.go
@@ -26,7 +26,7 @@
 	m.cfg = Config{
 		LoadFactor:  rapid.SampledFrom([]float64{1, 1.1, 1.25, 2}).Draw(t, "c"),
 		MaxInFlight: rapid.IntRange(1, 6).Draw(t, "max"),
-		Memory:      4,
+		MaxChats:    4,
 	}
 	m.c = New(m.cfg)
 	m.SetTargets(t)
@@ -56,7 +56,7 @@
 	v := m.c.Acquire(epoch, a)
 	is := is.New(t)
 	if had && !slices.Contains(a.Exclude, old.Target) {
-		is.Equal(v, Verdict{Outcome: Granted, Target: old.Target}) // the same place again
+		is.Equal(v, Decision{Outcome: Granted, Target: old.Target}) // the same place again
 	}
 	if v.Outcome != Granted {
 		is.True(v.RetryAfter > 0)
@@ -91,13 +91,13 @@
 	m.c.Release(a.Holder, a.Request)
 }
 
-func (m *cellModel) Forget(t *rapid.T) { m.c.Forget(drawAsk(t).Holder) }
+func (m *cellModel) Forget(t *rapid.T) { m.c.DropHolder(drawAsk(t).Holder) }
 
 func (m *cellModel) Resync(t *rapid.T) {
-	var holds []Hold
+	var holds []Place
 	for range rapid.IntRange(0, 4).Draw(t, "holds") {
 		a := drawAsk(t)
-		holds = append(holds, Hold{
+		holds = append(holds, Place{
 			Request: a.Request, Chat: a.Chat, Workspace: a.Workspace,
 			Target: fmt.Sprintf("engine-%d", rapid.IntRange(0, 12).Draw(t, "target")),
 		})
@@ -151,8 +151,8 @@
 	return Target{}, false
 }
 
-func drawAsk(t *rapid.T) Ask {
-	a := Ask{
+func drawAsk(t *rapid.T) AcquireRequest {
+	a := AcquireRequest{
 		Holder:    Holder{Node: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "node"), Incarnation: 1},
 		Request:   fmt.Sprint(rapid.IntRange(0, 30).Draw(t, "request")),
 		Chat:      rapid.Uint64Range(0, 8).Draw(t, "chat"),
@@ -184,7 +184,7 @@
 			m.Acquire(rt)
 		}
 		h := Holder{Node: "a", Incarnation: 1}
-		truth := []Hold{{Request: "kept", Target: "engine-1", Workspace: "w", Chat: 1}}
+		truth := []Place{{Request: "kept", Target: "engine-1", Workspace: "w", Chat: 1}}
 		m.c.Resync(h, truth)
 		is := is.New(rt)
 		is.Equal(len(m.c.holds[h]), 1)
@@ -220,17 +220,17 @@
 			is := is.New(t)
 			c := New(Config{LoadFactor: 1.25, MaxInFlight: 64})
 			c.SetTargets(targets)
-			var holds []Hold
+			var holds []Place
 			for id, n := range tt.load {
 				for i := range n {
-					holds = append(holds, Hold{Request: fmt.Sprint(id, i), Target: id, Chat: 1000})
+					holds = append(holds, Place{Request: fmt.Sprint(id, i), Target: id, Chat: 1000})
 				}
 			}
 			c.Resync(Holder{Node: "n"}, holds)
 			if tt.last != "" {
 				c.memory.Put(epoch, chat, tt.last)
 			}
-			v := c.Acquire(epoch, Ask{Request: "r", Chat: chat, Returning: tt.returning, Exclude: tt.exclude})
+			v := c.Acquire(epoch, AcquireRequest{Request: "r", Chat: chat, Returning: tt.returning, Exclude: tt.exclude})
 			is.Equal(v.Target, tt.want)
 		})
 	}
@@ -250,7 +250,7 @@
 				c.Release(Holder{}, fmt.Sprint(rapid.IntRange(0, i).Draw(rt, "which")))
 				continue
 			}
-			v := c.Acquire(now, Ask{Request: fmt.Sprint(i), Chat: uint64(i), Last: true})
+			v := c.Acquire(now, AcquireRequest{Request: fmt.Sprint(i), Chat: uint64(i), Last: true})
 			is.New(rt).True(v.Outcome == Granted || c.own.InFlight >= 51) // 0.85 of 60
 		}
 	})
@@ -260,9 +260,9 @@
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
-	is.Equal(c.Acquire(epoch, Ask{Request: "1", Chat: 1}).Target, "a")
+	is.Equal(c.Acquire(epoch, AcquireRequest{Request: "1", Chat: 1}).Target, "a")
 	c.SetTargets([]Target{{ID: "a", Capacity: 1, Leaving: true}})
-	v := c.Acquire(epoch, Ask{Request: "2", Chat: 1})
+	v := c.Acquire(epoch, AcquireRequest{Request: "2", Chat: 1})
 	is.Equal(v.Outcome, Full)
 	is.Equal(v.Reason, ReasonNoTarget)
 	is.Equal(c.slots[0].count, 1) // its request stays counted
--- a/admission/cell/health.go
+++ b/admission/cell/health.go
@@ -123,7 +123,7 @@
 	return c.fail(now, i, hold)
 }
 
-func (c *Cell) fail(now time.Time, i int, hold Hold) (Suspension, bool) {
+func (c *Cell) fail(now time.Time, i int, hold Place) (Suspension, bool) {
 	s := &c.slots[i]
 	t := c.health[s.id]
 	if t == nil {
@@ -219,7 +219,7 @@
 	return c.trials
 }
 
-func (c *Cell) endTrial(place Hold) {
+func (c *Cell) endTrial(place Place) {
 	if t := c.health[place.Target]; t != nil && t.trial == place.trial {
 		t.trial = 0
 	}
--- a/admission/cell/health_test.go
+++ b/admission/cell/health_test.go
@@ -30,7 +30,7 @@
 func (w *testCell) ask(exclude ...string) (string, string) {
 	w.next++
 	name := fmt.Sprint(w.next)
-	v := w.Acquire(w.now, Ask{Request: name, Chat: uint64(w.next), Exclude: exclude})
+	v := w.Acquire(w.now, AcquireRequest{Request: name, Chat: uint64(w.next), Exclude: exclude})
 	return name, v.Target
 }
 
@@ -147,7 +147,7 @@
 	w.now = w.now.Add(suspendMin)
 	trial := w.runOn(t, "a")
 	is.True(!w.getsRequests("a"))
-	w.Resync(Holder{}, []Hold{{Request: trial, Target: "a"}}) // still in flight
+	w.Resync(Holder{}, []Place{{Request: trial, Target: "a"}}) // still in flight
 	is.True(!w.getsRequests("a"))
 	w.Resync(Holder{}, nil) // ended with an unknown result
 	is.True(w.getsRequests("a"))
@@ -200,7 +200,7 @@
 	w := newTestCell(2)
 	for i := range 10 * maxFailures {
 		name := fmt.Sprint(i)
-		w.Acquire(w.now, Ask{Request: name, Chat: 1})
+		w.Acquire(w.now, AcquireRequest{Request: name, Chat: 1})
 		_, suspended := w.end(name, Failed)
 		is.True(!suspended)
 	}
@@ -216,7 +216,7 @@
 	}
 	w.SetTargets(w.targets)
 	for i := range 10 * maxFailures {
-		w.Resync(Holder{}, []Hold{{Request: "r", Target: "a", Chat: uint64(i)}})
+		w.Resync(Holder{}, []Place{{Request: "r", Target: "a", Chat: uint64(i)}})
 		_, suspended := w.end("r", Failed)
 		is.True(!suspended)
 	}
--- a/admission/cell/memory_test.go
+++ b/admission/cell/memory_test.go
@@ -12,7 +12,7 @@
 
 func TestMemoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := NewMemory(8)
+		m := NewLastTargets(8)
 		for chat := range rapid.Uint64Range(0, 100).Draw(rt, "chats") {
 			m.Put(epoch, chat, "a")
 		}
@@ -24,11 +24,11 @@
 func TestMergeKeepsNewest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ages := rapid.SliceOfNDistinct(rapid.IntRange(1, 1000), 1, 6, rapid.ID).Draw(rt, "ages")
-		m := NewMemory(8)
+		m := NewLastTargets(8)
 		newest, want := 1001, ""
 		for i, age := range ages {
 			target := string(rune('a' + i))
-			m.Merge(epoch, []Recent{{Chat: 1, Target: target, Age: time.Duration(age) * time.Second}})
+			m.Merge(epoch, []RecentChat{{Chat: 1, Target: target, Age: time.Duration(age) * time.Second}})
 			if age < newest {
 				newest, want = age, target
 			}
@@ -40,25 +40,25 @@
 
 func TestRecent(t *testing.T) {
 	is := is.New(t)
-	m := NewMemory(8)
+	m := NewLastTargets(8)
 	m.Put(epoch, 1, "a")
 	m.Put(epoch.Add(time.Minute), 2, "b")
 	m.Put(epoch.Add(time.Minute), 3, "c")
 	got := m.Recent(epoch.Add(2*time.Minute), 90*time.Second, func(target string) bool { return target != "c" })
-	is.Equal(got, []Recent{{Chat: 2, Target: "b", Age: time.Minute}})
+	is.Equal(got, []RecentChat{{Chat: 2, Target: "b", Age: time.Minute}})
 }
 
 // A Resync adds a chat's target to Memory only if the chat has no entry yet.
 func TestResyncRebuildsMemory(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
-	c.Resync(Holder{Node: "n"}, []Hold{{Request: "r", Target: "a", Chat: 1}})
+	c.Resync(Holder{Node: "n"}, []Place{{Request: "r", Target: "a", Chat: 1}})
 	got, _ := c.memory.Get(1)
 	is.Equal(got, "a")
-	c.memory.Merge(epoch, []Recent{{Chat: 1, Target: "b"}})
+	c.memory.Merge(epoch, []RecentChat{{Chat: 1, Target: "b"}})
 	got, _ = c.memory.Get(1)
 	is.Equal(got, "b")
-	c.Resync(Holder{Node: "n"}, []Hold{{Request: "r", Target: "a", Chat: 1}})
+	c.Resync(Holder{Node: "n"}, []Place{{Request: "r", Target: "a", Chat: 1}})
 	got, _ = c.memory.Get(1)
 	is.Equal(got, "b")
 }
--- a/admission/cell/place.go
+++ b/admission/cell/place.go
@@ -96,7 +96,7 @@
 
 // place returns the slot index of the best target for an Ask, or -1 if none is under its
 // bound.
-func (c *Cell) place(now time.Time, a Ask) int {
+func (c *Cell) place(now time.Time, a AcquireRequest) int {
 	last, known := c.memory.Get(a.Chat)
 	// A returning chat whose last target is unknown may have its prefix cached on the target
 	// that ranks first for it, which is then worth a load up to the bound. A chat whose last
--- a/admission/cell/trust.go
+++ b/admission/cell/trust.go
@@ -36,9 +36,9 @@
 // flight.
 func (c *Cell) EndTakeover() { c.recovery.waiting = nil }
 
-// Excuse stops waiting for a holder, for example of a node that seems dead, and keeps the
+// StopWaiting stops waiting for a holder, for example of a node that seems dead, and keeps the
 // places already counted for it.
-func (c *Cell) Excuse(h Holder) { c.recovery.stopWaiting(h) }
+func (c *Cell) StopWaiting(h Holder) { c.recovery.stopWaiting(h) }
 
 // Waiting returns the holders that haven't reported since the Takeover.
 func (c *Cell) Waiting() []Holder {
--- a/admission/cell/trust_test.go
+++ b/admission/cell/trust_test.go
@@ -24,12 +24,12 @@
 	all := nodes(4)
 	c.Takeover(all)
 	c.Resync(all[0], nil)
-	v := c.Acquire(epoch, Ask{Request: "r"})
+	v := c.Acquire(epoch, AcquireRequest{Request: "r"})
 	is.Equal(v.Outcome, Full)
 	is.Equal(v.Reason, ReasonRecovering)
 	is.Equal(len(c.Waiting()), 3)
 	c.Resync(all[1], nil)
-	is.Equal(c.Acquire(epoch, Ask{Request: "r"}).Outcome, Granted)
+	is.Equal(c.Acquire(epoch, AcquireRequest{Request: "r"}).Outcome, Granted)
 }
 
 func TestTakeoverEnds(t *testing.T) {
@@ -38,8 +38,8 @@
 		end  func(c *Cell, all []Holder)
 	}{
 		{"all holders reported", func(c *Cell, all []Holder) { c.Resync(all[0], nil); c.Resync(all[1], nil) }},
-		{"dead holders dropped", func(c *Cell, all []Holder) { c.Forget(all[0]); c.Forget(all[1]) }},
-		{"silent holders excused", func(c *Cell, all []Holder) { c.Excuse(all[0]); c.Excuse(all[1]) }},
+		{"dead holders dropped", func(c *Cell, all []Holder) { c.DropHolder(all[0]); c.DropHolder(all[1]) }},
+		{"silent holders excused", func(c *Cell, all []Holder) { c.StopWaiting(all[0]); c.StopWaiting(all[1]) }},
 		{"ended by EndTakeover", func(c *Cell, _ []Holder) { c.EndTakeover() }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			c.Takeover(all)
 			tt.end(c, all)
 			is.Equal(len(c.Waiting()), 0)
-			is.Equal(c.Acquire(epoch, Ask{Request: "r"}).Outcome, Granted)
+			is.Equal(c.Acquire(epoch, AcquireRequest{Request: "r"}).Outcome, Granted)
 		})
 	}
 }
@@ -61,10 +61,10 @@
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
 	h := nodes(1)[0]
-	c.Resync(h, []Hold{{Request: "r", Target: "a"}})
-	c.Excuse(h)
+	c.Resync(h, []Place{{Request: "r", Target: "a"}})
+	c.StopWaiting(h)
 	is.Equal(c.Totals().InFlight, 1)
-	c.Forget(h)
+	c.DropHolder(h)
 	is.Equal(c.Totals().InFlight, 0)
 }
 
@@ -80,9 +80,9 @@
 		c.Takeover(all)
 		is := is.New(rt)
 		for reported, h := range all {
-			var holds []Hold
+			var holds []Place
 			for i := range each {
-				holds = append(holds, Hold{Request: fmt.Sprint(i), Target: "a"})
+				holds = append(holds, Place{Request: fmt.Sprint(i), Target: "a"})
 			}
 			c.Resync(h, holds)
 			is.True(c.Totals().InFlight >= each*(reported+1))
@@ -139,10 +139,10 @@
 			for _, at := range tt.ticks {
 				c.Tick(epoch.Add(at))
 			}
-			is.Equal(c.Acquire(epoch.Add(tt.ask), Ask{Request: "r"}).Outcome, tt.want)
+			is.Equal(c.Acquire(epoch.Add(tt.ask), AcquireRequest{Request: "r"}).Outcome, tt.want)
 			c.Resync(all[0], nil)
 			c.Resync(all[1], nil)
-			is.Equal(c.Acquire(epoch.Add(tt.ask), Ask{Request: "r"}).Outcome, Granted)
+			is.Equal(c.Acquire(epoch.Add(tt.ask), AcquireRequest{Request: "r"}).Outcome, Granted)
 		})
 	}
 }
--- a/admission/cell/types.go
+++ b/admission/cell/types.go
@@ -23,8 +23,8 @@
 	// the lowest urgency may not use, and that workspaces over their fair share may not use
 	// either; the two add up. Negative means none. Optional.
 	Reserve float64
-	// Memory is the number of chats whose last target is kept. Optional.
-	Memory int
+	// MaxChats is the number of chats whose last target is kept. Optional.
+	MaxChats int
 	// MaxPause is the longest time between two calls of Tick after which the cell still relies
 	// on its counts. Optional.
 	MaxPause time.Duration
@@ -51,8 +51,8 @@
 	Incarnation int64
 }
 
-// Ask is a request for a place: the right to run one request on a target of the cell.
-type Ask struct {
+// AcquireRequest is a request for a place: the right to run one request on a target of the cell.
+type AcquireRequest struct {
 	Holder    Holder
 	Request   string
 	Chat      uint64
@@ -113,16 +113,16 @@
 	return "none"
 }
 
-// Verdict is the answer to an Ask.
-type Verdict struct {
+// Decision is the answer to an Ask.
+type Decision struct {
 	Outcome    Outcome
 	Target     string
 	Reason     Reason
 	RetryAfter time.Duration // set unless Granted
 }
 
-// Hold is one place as its holder reports it.
-type Hold struct {
+// Place is one place as its holder reports it.
+type Place struct {
 	Request   string
 	Target    string
 	Workspace string
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -29,7 +29,7 @@
 
 // place is a place on a target, granted by an owner or taken by the local estimate.
 type place struct {
-	key    holds.Key
+	key    holds.CellKey
 	seq    uint64
 	target targets.Target
 	done   func() // ends the local count
@@ -144,9 +144,9 @@
 		s.metrics.requests.WithLabelValues(outcomeFull).Inc()
 		return Grant{}, err
 	}
-	k := e.plan.keyOf(holds.Key{Pool: r.Pool.Pool, Region: e.region}, t.ID)
+	k := e.plan.keyOf(holds.CellKey{Pool: r.Pool.Pool, Region: e.region}, t.ID)
 	owner, _ := e.plan.owner(k)
-	seq := s.table.AddUngranted(s.now(), k, holderOf(owner), holds.Detail{Target: t.ID, Workspace: workspaceName(r), Chat: r.Chat})
+	seq := s.table.AddUngranted(s.now(), k, holderOf(owner), holds.Place{Target: t.ID, Workspace: workspaceName(r), Chat: r.Chat})
 	return e.grant(place{key: k, seq: seq, target: t, done: done}, outcomeFallback), nil
 }
 
@@ -181,9 +181,9 @@
 	s.sendRelease(owner.ID, k, p.seq, r)
 }
 
-func (s *Service) sendRelease(node string, k holds.Key, seq uint64, r Result) {
+func (s *Service) sendRelease(node string, k holds.CellKey, seq uint64, r Result) {
 	if node == s.cfg.Node {
-		e := holds.Released{Key: k}
+		e := holds.EndedPlaces{CellKey: k}
 		e.Add(seq, r)
 		s.releaseOwned(s.self.Holder(), e)
 		return
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -192,7 +192,7 @@
 // other and apply those that they received.
 func (f *fleet) exchangeTotals() {
 	f.advance(releaseDelay)
-	f.advance(cell.DefaultQuiet)
+	f.advance(cell.DefaultMaxInterval)
 	f.advance(0)
 }
 
@@ -230,7 +230,7 @@
 		if n.fault != faultNone {
 			continue
 		}
-		n.owned.each(func(_ holds.Key, c *ownedCell) {
+		n.owned.each(func(_ holds.CellKey, c *ownedCell) {
 			for _, l := range c.owner.Targets() {
 				out[l.ID] += l.InFlight
 			}
--- a/admission/holds/messages.go
+++ b/admission/holds/messages.go
@@ -14,9 +14,9 @@
 	"github.com/knapweedgw/knapweedgw/admission/cell"
 )
 
-// Key identifies a cell of a pool's targets in one region. Region isn't sent to other nodes,
+// CellKey identifies a cell of a pool's targets in one region. Region isn't sent to other nodes,
 // since a node only owns cells of its own region.
-type Key struct {
+type CellKey struct {
 	Pool   string `json:"p"`
 	Region string `json:"-"`
 	Cell   int    `json:"c,omitempty"`
@@ -49,7 +49,7 @@
 // Acquire asks a cell's owner for a place.
 type Acquire struct {
 	From
-	Key
+	CellKey
 	Seq       uint64   `json:"q"`
 	Chat      uint64   `json:"h"`
 	Workspace string   `json:"w"`
@@ -79,9 +79,9 @@
 	Least int `json:"m,omitempty"`
 }
 
-// Released lists ended places of one cell.
-type Released struct {
-	Key
+// EndedPlaces lists ended places of one cell.
+type EndedPlaces struct {
+	CellKey
 	Seqs Seqs `json:"q"`
 	// Failed, Unknown and Overloaded are the subsets of Seqs with these results; see
 	// cell.Result. All other places of Seqs ended with cell.Answered.
@@ -91,7 +91,7 @@
 }
 
 // Add appends an ended place.
-func (r *Released) Add(seq uint64, result cell.Result) {
+func (r *EndedPlaces) Add(seq uint64, result cell.Result) {
 	r.Seqs = append(r.Seqs, seq)
 	switch result {
 	case cell.Failed:
@@ -104,7 +104,7 @@
 }
 
 // Sort sorts the sequence numbers, as their encoding requires.
-func (r *Released) Sort() {
+func (r *EndedPlaces) Sort() {
 	slices.Sort(r.Seqs)
 	slices.Sort(r.Failed)
 	slices.Sort(r.Unknown)
@@ -112,7 +112,7 @@
 }
 
 // result returns the result of a place of Seqs.
-func (r *Released) result(seq uint64) cell.Result {
+func (r *EndedPlaces) result(seq uint64) cell.Result {
 	if _, ok := slices.BinarySearch(r.Failed, seq); ok {
 		return cell.Failed
 	}
@@ -128,11 +128,11 @@
 // Release reports ended places to an owner.
 type Release struct {
 	From
-	Cells []Released `json:"e"`
+	Cells []EndedPlaces `json:"e"`
 }
 
-// Detail describes one place.
-type Detail struct {
+// Place describes one place.
+type Place struct {
 	Seq       uint64 `json:"q"`
 	Target    string `json:"t"`
 	Workspace string `json:"w"`
@@ -142,17 +142,17 @@
 // Resync lists all places that a node holds in one cell at sequence number At.
 type Resync struct {
 	From
-	Key
+	CellKey
 	At uint64 `json:"s"`
 	// Held are the places that the owner should already have recorded.
 	Held Seqs `json:"q,omitempty"`
 	// Pending are the asks that have no answer yet.
 	Pending Seqs `json:"w,omitempty"`
 	// Details are the places that the owner may not have recorded.
-	Details []Detail `json:"d,omitempty"`
+	Details []Place `json:"d,omitempty"`
 	// Recent lists the targets on which chats ran recently. It is set only in the answer to a
 	// Pull.
-	Recent []cell.Recent `json:"r,omitempty"`
+	Recent []cell.RecentChat `json:"r,omitempty"`
 }
 
 // ResyncReply is the answer to a Resync. Missing are the places of Resync.Held that the
@@ -165,12 +165,12 @@
 // Pull asks a node for the places that it holds in a cell.
 type Pull struct {
 	From
-	Key
+	CellKey
 }
 
 // CellTotals is the load of one cell.
 type CellTotals struct {
-	Key
+	CellKey
 	InFlight int `json:"f"`
 	Capacity int `json:"a"`
 }
--- a/admission/holds/owner.go
+++ b/admission/holds/owner.go
@@ -29,7 +29,7 @@
 	// ended are the asks whose release has arrived. A late ask or an older resync must not add
 	// their places again.
 	ended map[uint64]struct{}
-	holds map[uint64]cell.Hold
+	holds map[uint64]cell.Place
 }
 
 // TargetLoad is the number of requests in flight on a target.
@@ -73,13 +73,15 @@
 func (o *Owner) Recovering() bool { return o.cell.Recovering() }
 
 // MergeRecent adds the targets on which a node's chats last ran to the cell's Memory.
-func (o *Owner) MergeRecent(now time.Time, recent []cell.Recent) { o.cell.Memory().Merge(now, recent) }
+func (o *Owner) MergeRecent(now time.Time, recent []cell.RecentChat) {
+	o.cell.LastTargets().Merge(now, recent)
+}
 
 // EndWait ends the wait for a holder whose node has answered, if the answer came from
 // another run of the node.
 func (o *Owner) EndWait(h cell.Holder) {
 	if _, known := o.holders[h]; !known && slices.Contains(o.cell.Waiting(), h) {
-		o.cell.Forget(h)
+		o.cell.DropHolder(h)
 	}
 }
 
@@ -100,13 +102,13 @@
 		return Reply{Code: Stale}
 	}
 	h.maxSeq = max(h.maxSeq, m.Seq)
-	v := o.cell.Acquire(now, cell.Ask{
+	v := o.cell.Acquire(now, cell.AcquireRequest{
 		Holder: m.Holder(), Request: requestID(m.Seq), Chat: m.Chat,
 		Workspace: m.Workspace, Weight: m.Weight, Urgency: m.Urgency,
 		Exclude: m.Exclude, Returning: m.Returning, Last: m.Last,
 	})
 	if v.Outcome == cell.Granted {
-		h.holds[m.Seq] = holdOf(Detail{Seq: m.Seq, Target: v.Target, Workspace: m.Workspace, Chat: m.Chat})
+		h.holds[m.Seq] = holdOf(Place{Seq: m.Seq, Target: v.Target, Workspace: m.Workspace, Chat: m.Chat})
 	}
 	return replyOf(v)
 }
@@ -129,7 +131,7 @@
 
 // ReleaseWithResults ends places with their results and returns the suspensions of targets
 // that the failures caused.
-func (o *Owner) ReleaseWithResults(now time.Time, from cell.Holder, e Released) []cell.Suspension {
+func (o *Owner) ReleaseWithResults(now time.Time, from cell.Holder, e EndedPlaces) []cell.Suspension {
 	var out []cell.Suspension
 	for _, q := range e.Seqs {
 		if s, ok := o.cell.Report(now, from, requestID(q), e.result(q)); ok {
@@ -188,14 +190,14 @@
 		case dead(id):
 			o.dropHolder(id)
 		case h.lastMessage.Before(before):
-			o.cell.Forget(id)
+			o.cell.DropHolder(id)
 			h.reset()
 		}
 	}
 }
 
 func (o *Owner) dropHolder(id cell.Holder) {
-	o.cell.Forget(id)
+	o.cell.DropHolder(id)
 	delete(o.holders, id)
 }
 
@@ -228,7 +230,7 @@
 	h.resetSeq = h.maxSeq
 	h.pending = nil
 	h.ended = make(map[uint64]struct{})
-	h.holds = make(map[uint64]cell.Hold)
+	h.holds = make(map[uint64]cell.Place)
 }
 
 func (o *Owner) drop(id cell.Holder, h *holder, q uint64) {
@@ -246,7 +248,7 @@
 	}
 }
 
-func (o *Owner) addDetails(id cell.Holder, h *holder, details []Detail) {
+func (o *Owner) addDetails(id cell.Holder, h *holder, details []Place) {
 	added := false
 	for _, d := range details {
 		_, known := h.holds[d.Seq]
@@ -259,7 +261,7 @@
 	if !added && len(o.cell.Waiting()) == 0 {
 		return
 	}
-	all := make([]cell.Hold, 0, len(h.holds))
+	all := make([]cell.Place, 0, len(h.holds))
 	for _, hold := range h.holds {
 		all = append(all, hold)
 	}
@@ -312,11 +314,11 @@
 
 func requestID(q uint64) string { return strconv.FormatUint(q, 36) }
 
-func holdOf(d Detail) cell.Hold {
-	return cell.Hold{Request: requestID(d.Seq), Target: d.Target, Workspace: d.Workspace, Chat: d.Chat}
+func holdOf(d Place) cell.Place {
+	return cell.Place{Request: requestID(d.Seq), Target: d.Target, Workspace: d.Workspace, Chat: d.Chat}
 }
 
-func replyOf(v cell.Verdict) Reply {
+func replyOf(v cell.Decision) Reply {
 	r := Reply{Reason: v.Reason, RetryAfterMS: v.RetryAfter.Milliseconds()}
 	switch v.Outcome {
 	case cell.Granted:
--- a/admission/holds/owner_test.go
+++ b/admission/holds/owner_test.go
@@ -19,7 +19,7 @@
 }
 
 func acquire(node string, incarnation int64, seq uint64) holds.Acquire {
-	return holds.Acquire{From: holds.From{Node: node, Incarnation: incarnation}, Key: key, Seq: seq}
+	return holds.Acquire{From: holds.From{Node: node, Incarnation: incarnation}, CellKey: key, Seq: seq}
 }
 
 func TestTakeoverEnds(t *testing.T) {
@@ -51,7 +51,7 @@
 }
 
 func resyncOf(node string) holds.Resync {
-	return holds.Resync{From: holds.From{Node: node, Incarnation: 1}, Key: key, At: 9}
+	return holds.Resync{From: holds.From{Node: node, Incarnation: 1}, CellKey: key, At: 9}
 }
 
 func TestHolderExpires(t *testing.T) {
@@ -83,13 +83,13 @@
 	is := is.New(t)
 	x, y := cell.Holder{Node: "x", Incarnation: 1}, cell.Holder{Node: "y", Incarnation: 1}
 	owner := x
-	ownerOf := func(holds.Key) (cell.Holder, bool) { return owner, true }
+	ownerOf := func(holds.CellKey) (cell.Holder, bool) { return owner, true }
 	table := holds.NewTable(holds.From{Node: "n", Incarnation: 1}, timing)
 	q := table.Begin(start, key, x)
-	table.Grant(start, key, x, holds.Detail{Seq: q, Target: "a"})
+	table.Grant(start, key, x, holds.Place{Seq: q, Target: "a"})
 	is.Equal(len(table.DueResyncs(start, ownerOf)), 0) // the owner has recorded it
 
-	table.AddUngranted(start, key, x, holds.Detail{Target: "a"})
+	table.AddUngranted(start, key, x, holds.Place{Target: "a"})
 	is.Equal(len(table.DueResyncs(start.Add(timing.Report), ownerOf)), 1) // a place that no owner granted
 	m := table.BuildResync(key, x)
 	is.Equal(len(m.Held), 1)
@@ -111,11 +111,11 @@
 func TestRekeyMovesPlaces(t *testing.T) {
 	is := is.New(t)
 	owner := cell.Holder{Node: "x", Incarnation: 1}
-	moved := holds.Key{Pool: "pool", Region: "region", Cell: 1, Of: 2}
+	moved := holds.CellKey{Pool: "pool", Region: "region", Cell: 1, Of: 2}
 	table := holds.NewTable(holds.From{Node: "n", Incarnation: 1}, timing)
 	q := table.Begin(start, key, owner)
-	table.Grant(start, key, owner, holds.Detail{Seq: q, Target: "a"})
-	table.Rekey(start, func(k holds.Key) bool { return k.Of != 2 }, func(holds.Key, string) holds.Key { return moved })
+	table.Grant(start, key, owner, holds.Place{Seq: q, Target: "a"})
+	table.Rekey(start, func(k holds.CellKey) bool { return k.Of != 2 }, func(holds.CellKey, string) holds.CellKey { return moved })
 	is.Equal(len(table.BuildResync(key, owner).Held), 0)
 	is.Equal(len(table.BuildResync(moved, owner).Details), 1) // the new owner hasn't recorded it
 	is.Equal(table.Release(key, q), moved)
--- a/admission/holds/protocol_test.go
+++ b/admission/holds/protocol_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	key    = holds.Key{Pool: "pool", Region: "region", Of: 1}
+	key    = holds.CellKey{Pool: "pool", Region: "region", Of: 1}
 	timing = holds.Timing{Interval: 5 * time.Second, Retry: time.Second, Report: 200 * time.Millisecond}
 	config = cell.Config{LoadFactor: 1.25, MaxInFlight: 100}
 	names  = []string{"node-0", "node-1", "node-2"}
@@ -66,7 +66,7 @@
 	owner := n.views[node]
 	q := n.tables[node].Begin(n.now, key, id(owner))
 	n.pending[node][q] = owner
-	n.queue = append(n.queue, message{from: node, to: owner, acquire: &holds.Acquire{From: sender(node), Key: key, Seq: q, Chat: chat}})
+	n.queue = append(n.queue, message{from: node, to: owner, acquire: &holds.Acquire{From: sender(node), CellKey: key, Seq: q, Chat: chat}})
 }
 
 func (n *network) giveUp(node int, q uint64) {
@@ -78,7 +78,7 @@
 
 // addUngranted adds a place that no owner granted.
 func (n *network) addUngranted(node int, target string) {
-	q := n.tables[node].AddUngranted(n.now, key, id(n.views[node]), holds.Detail{Target: target})
+	q := n.tables[node].AddUngranted(n.now, key, id(n.views[node]), holds.Place{Target: target})
 	n.held[node][q] = target
 }
 
@@ -89,7 +89,7 @@
 }
 
 func (n *network) sendRelease(node, owner int, q uint64) {
-	r := &holds.Release{From: sender(node), Cells: []holds.Released{{Key: key, Seqs: holds.Seqs{q}}}}
+	r := &holds.Release{From: sender(node), Cells: []holds.EndedPlaces{{CellKey: key, Seqs: holds.Seqs{q}}}}
 	n.queue = append(n.queue, message{from: node, to: owner, release: r})
 }
 
@@ -139,7 +139,7 @@
 		n.tables[m.to].GiveUp(key, m.seq)
 		return
 	}
-	n.tables[m.to].Grant(n.now, key, id(m.from), holds.Detail{Seq: m.seq, Target: m.reply.Target})
+	n.tables[m.to].Grant(n.now, key, id(m.from), holds.Place{Seq: m.seq, Target: m.reply.Target})
 	n.held[m.to][m.seq] = m.reply.Target
 }
 
@@ -276,7 +276,7 @@
 // with a resync.
 func (n *network) tookLocally(node int, q uint64) bool {
 	m := n.tables[node].BuildResync(key, id(0))
-	return slices.ContainsFunc(m.Details, func(d holds.Detail) bool { return d.Seq == q })
+	return slices.ContainsFunc(m.Details, func(d holds.Place) bool { return d.Seq == q })
 }
 
 // TestReorderedMessagesLeaveExactCounts: if messages are delayed and reordered but none is
--- a/admission/holds/table.go
+++ b/admission/holds/table.go
@@ -22,7 +22,7 @@
 
 	mu    sync.Mutex
 	next  uint64
-	cells map[Key]*tableCell
+	cells map[CellKey]*tableCell
 }
 
 type tableCell struct {
@@ -34,24 +34,24 @@
 }
 
 type place struct {
-	Detail
+	Place
 	recordedBy cell.Holder
 }
 
 // DueResync is a cell whose places must be reported to its owner now.
 type DueResync struct {
-	Key     Key
+	Key     CellKey
 	Owner   cell.Holder
 	Changed bool // the owner has changed since the last resync
 }
 
 // NewTable returns an empty table of the given run of a node.
 func NewTable(self From, timing Timing) *Table {
-	return &Table{self: self, timing: timing, cells: make(map[Key]*tableCell)}
+	return &Table{self: self, timing: timing, cells: make(map[CellKey]*tableCell)}
 }
 
 // Begin records an ask to the owner and returns its sequence number.
-func (t *Table) Begin(now time.Time, k Key, owner cell.Holder) uint64 {
+func (t *Table) Begin(now time.Time, k CellKey, owner cell.Holder) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
@@ -61,16 +61,16 @@
 }
 
 // Grant turns a pending ask into a place that the owner has recorded.
-func (t *Table) Grant(now time.Time, k Key, owner cell.Holder, d Detail) {
+func (t *Table) Grant(now time.Time, k CellKey, owner cell.Holder, d Place) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
 	delete(c.pending, d.Seq)
-	c.holds[d.Seq] = &place{Detail: d, recordedBy: owner}
+	c.holds[d.Seq] = &place{Place: d, recordedBy: owner}
 }
 
 // GiveUp cancels a pending ask. The caller should send the owner a release of it.
-func (t *Table) GiveUp(k Key, seq uint64) {
+func (t *Table) GiveUp(k CellKey, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.cells[k]; ok {
@@ -79,13 +79,13 @@
 }
 
 // AddUngranted records a place that no owner granted and returns its sequence number.
-func (t *Table) AddUngranted(now time.Time, k Key, owner cell.Holder, d Detail) uint64 {
+func (t *Table) AddUngranted(now time.Time, k CellKey, owner cell.Holder, d Place) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
 	t.next++
 	d.Seq = t.next
-	c.holds[d.Seq] = &place{Detail: d}
+	c.holds[d.Seq] = &place{Place: d}
 	if soon := now.Add(t.timing.Report); soon.Before(c.nextResync) {
 		c.nextResync = soon
 	}
@@ -93,7 +93,7 @@
 }
 
 // Release ends a place. It returns the cell that the place is counted in.
-func (t *Table) Release(k Key, seq uint64) Key {
+func (t *Table) Release(k CellKey, seq uint64) CellKey {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.cells[k]; ok {
@@ -124,7 +124,7 @@
 
 // DueResyncs returns the cells to report now, because their owner changed or the interval
 // has passed. Each must be passed to BuildResync, then to ResyncAnswered or ResyncFailed.
-func (t *Table) DueResyncs(now time.Time, ownerOf func(Key) (cell.Holder, bool)) []DueResync {
+func (t *Table) DueResyncs(now time.Time, ownerOf func(CellKey) (cell.Holder, bool)) []DueResync {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []DueResync
@@ -148,11 +148,11 @@
 
 // BuildResync returns the resync of a cell for an owner. Places that the owner has recorded
 // are listed by number only; the zero owner has recorded none.
-func (t *Table) BuildResync(k Key, owner cell.Holder) Resync {
+func (t *Table) BuildResync(k CellKey, owner cell.Holder) Resync {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next++
-	m := Resync{From: t.self, Key: k, At: t.next}
+	m := Resync{From: t.self, CellKey: k, At: t.next}
 	c, ok := t.cells[k]
 	if !ok {
 		return m
@@ -161,7 +161,7 @@
 		if p.recordedBy == owner && owner != (cell.Holder{}) {
 			m.Held = append(m.Held, q)
 		} else {
-			m.Details = append(m.Details, p.Detail)
+			m.Details = append(m.Details, p.Place)
 		}
 	}
 	for q := range c.pending {
@@ -178,7 +178,7 @@
 func (t *Table) ResyncAnswered(now time.Time, owner cell.Holder, m Resync, r ResyncReply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c, ok := t.cells[m.Key]
+	c, ok := t.cells[m.CellKey]
 	if !ok {
 		return
 	}
@@ -201,12 +201,12 @@
 	}
 	wasEmpty := len(m.Held)+len(m.Details)+len(m.Pending) == 0
 	if wasEmpty && len(c.holds)+len(c.pending) == 0 {
-		delete(t.cells, m.Key)
+		delete(t.cells, m.CellKey)
 	}
 }
 
 // ResyncFailed records that a resync got no answer.
-func (t *Table) ResyncFailed(now time.Time, k Key) {
+func (t *Table) ResyncFailed(now time.Time, k CellKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.cells[k]; ok {
@@ -217,7 +217,7 @@
 
 // Rekey moves places to other cells after the number of the pool's cells has changed. Cells
 // for which stale returns false are left unchanged.
-func (t *Table) Rekey(now time.Time, stale func(Key) bool, keyOf func(k Key, target string) Key) {
+func (t *Table) Rekey(now time.Time, stale func(CellKey) bool, keyOf func(k CellKey, target string) CellKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, old := range t.keys() {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (t *Table) cell(now time.Time, k Key, owner cell.Holder) *tableCell {
+func (t *Table) cell(now time.Time, k CellKey, owner cell.Holder) *tableCell {
 	c, ok := t.cells[k]
 	if !ok {
 		c = &tableCell{
@@ -248,8 +248,8 @@
 	return c
 }
 
-func (t *Table) keys() []Key {
-	out := make([]Key, 0, len(t.cells))
+func (t *Table) keys() []CellKey {
+	out := make([]CellKey, 0, len(t.cells))
 	for k := range t.cells {
 		out = append(out, k)
 	}
--- a/admission/owned.go
+++ b/admission/owned.go
@@ -13,7 +13,7 @@
 // ownedCells holds the cells that this node owns.
 type ownedCells struct {
 	mu    sync.Mutex
-	cells map[holds.Key]*ownedCell
+	cells map[holds.CellKey]*ownedCell
 }
 
 // ownedCell is one owned cell. mu guards all its fields.
@@ -26,9 +26,9 @@
 	announcer cell.Announcer
 }
 
-func newOwned() *ownedCells { return &ownedCells{cells: make(map[holds.Key]*ownedCell)} }
+func newOwned() *ownedCells { return &ownedCells{cells: make(map[holds.CellKey]*ownedCell)} }
 
-func (o *ownedCells) get(k holds.Key) (*ownedCell, bool) {
+func (o *ownedCells) get(k holds.CellKey) (*ownedCell, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c, ok := o.cells[k]
@@ -43,20 +43,20 @@
 
 func (o *ownedCells) places() int {
 	n := 0
-	o.each(func(_ holds.Key, c *ownedCell) { n += c.owner.Places() })
+	o.each(func(_ holds.CellKey, c *ownedCell) { n += c.owner.Places() })
 	return n
 }
 
 func (o *ownedCells) suspended() int {
 	n := 0
-	o.each(func(_ holds.Key, c *ownedCell) { n += c.owner.SuspendedTargets() })
+	o.each(func(_ holds.CellKey, c *ownedCell) { n += c.owner.SuspendedTargets() })
 	return n
 }
 
 // each calls f with every cell while holding the cell's lock.
-func (o *ownedCells) each(f func(holds.Key, *ownedCell)) {
+func (o *ownedCells) each(f func(holds.CellKey, *ownedCell)) {
 	o.mu.Lock()
-	cells := make(map[holds.Key]*ownedCell, len(o.cells))
+	cells := make(map[holds.CellKey]*ownedCell, len(o.cells))
 	for k, c := range o.cells {
 		cells[k] = c
 	}
@@ -73,7 +73,7 @@
 func (s *Service) updateOwned(p *plan) {
 	s.owned.mu.Lock()
 	defer s.owned.mu.Unlock()
-	mine := make(map[holds.Key]*ownedCell)
+	mine := make(map[holds.CellKey]*ownedCell)
 	for pool := range p.pools {
 		for _, k := range p.keys(pool, p.region) {
 			n, ok := p.owner(k)
@@ -93,7 +93,7 @@
 
 // newOwnedCell returns the record of a cell that this node begins to own. The cell waits for
 // reports of all nodes of the region that may hold places.
-func (s *Service) newOwnedCell(p *plan, k holds.Key) *ownedCell {
+func (s *Service) newOwnedCell(p *plan, k holds.CellKey) *ownedCell {
 	s.metrics.takeovers.Inc()
 	c := &ownedCell{owner: holds.NewOwner(p.pools[k.Pool].cell)}
 	var holders []cell.Holder
@@ -107,7 +107,7 @@
 	return c
 }
 
-func (c *ownedCell) apply(p *plan, k holds.Key) {
+func (c *ownedCell) apply(p *plan, k holds.CellKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owner.Configure(p.pools[k.Pool].cell)
@@ -118,7 +118,7 @@
 // cells.
 func (s *Service) tickOwned(ctx context.Context, p *plan, now time.Time) {
 	var pulls []func()
-	s.owned.each(func(k holds.Key, c *ownedCell) {
+	s.owned.each(func(k holds.CellKey, c *ownedCell) {
 		c.owner.Tick(now)
 		c.owner.SetOthers(s.othersOf(p, k, now))
 		for _, h := range c.advanceTakeover(now) {
@@ -162,7 +162,7 @@
 }
 
 // pull asks a holder for its places and records them.
-func (s *Service) pull(ctx context.Context, p *plan, k holds.Key, c *ownedCell, h cell.Holder) {
+func (s *Service) pull(ctx context.Context, p *plan, k holds.CellKey, c *ownedCell, h cell.Holder) {
 	m, err := s.fetchPlaces(ctx, p, k, h)
 	if err != nil {
 		s.log.Debug("pull failed", "node", h.Node, "pool", k.Pool, "cell", k.Cell, "err", err)
@@ -176,7 +176,7 @@
 	c.owner.EndWait(h)
 }
 
-func (s *Service) fetchPlaces(ctx context.Context, p *plan, k holds.Key, h cell.Holder) (holds.Resync, error) {
+func (s *Service) fetchPlaces(ctx context.Context, p *plan, k holds.CellKey, h cell.Holder) (holds.Resync, error) {
 	if h.Node == s.cfg.Node {
 		return s.fullResync(p, k), nil
 	}
@@ -187,7 +187,7 @@
 	ctx, cancel := context.WithTimeout(ctx, resyncTimeout)
 	defer cancel()
 	var m holds.Resync
-	err := s.call(ctx, n, methodPull, holds.Pull{From: s.self, Key: k}, &m)
+	err := s.call(ctx, n, methodPull, holds.Pull{From: s.self, CellKey: k}, &m)
 	m.Region = k.Region
 	return m, err
 }
--- a/admission/plan.go
+++ b/admission/plan.go
@@ -33,7 +33,7 @@
 
 	mu     sync.Mutex
 	groups map[groupKey]*group
-	owners map[string]map[holds.Key]membership.Node // by region
+	owners map[string]map[holds.CellKey]membership.Node // by region
 }
 
 // poolConfig is the configuration of a pool, merged from all settings documents. If they
@@ -67,7 +67,7 @@
 	p := &plan{
 		inputs: in, region: region, pools: poolConfigs(in.settings),
 		groups: make(map[groupKey]*group), candidates: make(map[string]ownerCandidates),
-		owners: make(map[string]map[holds.Key]membership.Node),
+		owners: make(map[string]map[holds.CellKey]membership.Node),
 	}
 	for _, n := range in.view.Nodes {
 		if _, ok := p.candidates[n.Region]; !ok {
@@ -141,7 +141,7 @@
 		g.index[t.ID] = len(g.live)
 		g.live = append(g.live, t)
 		g.hashes = append(g.hashes, routing.Hash(t.ID))
-		g.cells = append(g.cells, cell.Of(t.ID, cells))
+		g.cells = append(g.cells, cell.IndexOf(t.ID, cells))
 	}
 	return g
 }
@@ -160,7 +160,7 @@
 
 // owner returns the node that owns a cell. The cells of a region are assigned to its
 // candidates by rendezvous hashing with a bound on the number of cells for each node.
-func (p *plan) owner(k holds.Key) (membership.Node, bool) {
+func (p *plan) owner(k holds.CellKey) (membership.Node, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	owners, ok := p.owners[k.Region]
@@ -172,8 +172,8 @@
 	return n, ok
 }
 
-func (p *plan) assign(region string) map[holds.Key]membership.Node {
-	var keys []holds.Key
+func (p *plan) assign(region string) map[holds.CellKey]membership.Node {
+	var keys []holds.CellKey
 	var names []uint64
 	for _, pool := range slices.Sorted(maps.Keys(p.pools)) {
 		for _, k := range p.keys(pool, region) {
@@ -181,7 +181,7 @@
 			names = append(names, routing.Hash(k.Pool+"/"+strconv.Itoa(k.Cell)))
 		}
 	}
-	owners := make(map[holds.Key]membership.Node, len(keys))
+	owners := make(map[holds.CellKey]membership.Node, len(keys))
 	d := p.candidates[region]
 	for i, n := range routing.Assign(names, d.hashes) {
 		owners[keys[i]] = d.nodes[n]
@@ -190,20 +190,20 @@
 }
 
 // keys returns the cells of a pool in one region.
-func (p *plan) keys(pool, region string) []holds.Key {
+func (p *plan) keys(pool, region string) []holds.CellKey {
 	cells := p.pools[pool].cells
-	out := make([]holds.Key, cells)
+	out := make([]holds.CellKey, cells)
 	for i := range out {
-		out[i] = holds.Key{Pool: pool, Region: region, Cell: i, Of: cells}
+		out[i] = holds.CellKey{Pool: pool, Region: region, Cell: i, Of: cells}
 	}
 	return out
 }
 
 // cellTargets returns the targets of a cell, including those that are leaving.
-func (p *plan) cellTargets(k holds.Key) []cell.Target {
+func (p *plan) cellTargets(k holds.CellKey) []cell.Target {
 	var out []cell.Target
 	for _, t := range p.groupIn(k.Pool, k.Region).all {
-		if cell.Of(t.ID, k.Of) == k.Cell {
+		if cell.IndexOf(t.ID, k.Of) == k.Cell {
 			out = append(out, cell.Target{ID: t.ID, Capacity: t.Capacity, Leaving: t.Leaving, Incarnation: t.Incarnation})
 		}
 	}
@@ -229,20 +229,20 @@
 }
 
 // stale reports whether the pool now has another number of cells than k.
-func (p *plan) stale(k holds.Key) bool {
+func (p *plan) stale(k holds.CellKey) bool {
 	c, ok := p.pools[k.Pool]
 	return ok && c.cells != k.Of
 }
 
 // keyOf returns the cell to which a target of k belongs now.
-func (p *plan) keyOf(k holds.Key, target string) holds.Key {
+func (p *plan) keyOf(k holds.CellKey, target string) holds.CellKey {
 	k.Of = p.pools[k.Pool].cells
-	k.Cell = cell.Of(target, k.Of)
+	k.Cell = cell.IndexOf(target, k.Of)
 	return k
 }
 
 // liveTarget returns a target that isn't leaving.
-func (p *plan) liveTarget(k holds.Key, id string) (targets.Target, bool) {
+func (p *plan) liveTarget(k holds.CellKey, id string) (targets.Target, bool) {
 	g := p.groupIn(k.Pool, k.Region)
 	i, ok := g.index[id]
 	if !ok {
--- a/admission/releases.go
+++ b/admission/releases.go
@@ -10,24 +10,24 @@
 // releases collects ended places until they are sent, grouped by the node to send them to.
 type releases struct {
 	mu    sync.Mutex
-	queue map[string]map[holds.Key]*holds.Released
+	queue map[string]map[holds.CellKey]*holds.EndedPlaces
 	// wake has a token when the queue isn't empty.
 	wake chan struct{}
 }
 
 func newReleases() *releases {
-	return &releases{queue: make(map[string]map[holds.Key]*holds.Released), wake: make(chan struct{}, 1)}
+	return &releases{queue: make(map[string]map[holds.CellKey]*holds.EndedPlaces), wake: make(chan struct{}, 1)}
 }
 
-func (r *releases) add(node string, k holds.Key, seq uint64, result cell.Result) {
+func (r *releases) add(node string, k holds.CellKey, seq uint64, result cell.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.queue[node] == nil {
-		r.queue[node] = make(map[holds.Key]*holds.Released)
+		r.queue[node] = make(map[holds.CellKey]*holds.EndedPlaces)
 	}
 	e := r.queue[node][k]
 	if e == nil {
-		e = &holds.Released{Key: k}
+		e = &holds.EndedPlaces{CellKey: k}
 		r.queue[node][k] = e
 	}
 	e.Add(seq, result)
@@ -38,10 +38,10 @@
 }
 
 // take returns the queue's content and empties it.
-func (r *releases) take() map[string][]holds.Released {
+func (r *releases) take() map[string][]holds.EndedPlaces {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string][]holds.Released, len(r.queue))
+	out := make(map[string][]holds.EndedPlaces, len(r.queue))
 	for node, cells := range r.queue {
 		for _, e := range cells {
 			e.Sort()
--- a/admission/serve.go
+++ b/admission/serve.go
@@ -72,20 +72,20 @@
 // acquireOwned decides an ask for a cell that this node should own.
 func (s *Service) acquireOwned(m holds.Acquire) holds.Reply {
 	p := s.plan()
-	c, ok := s.owned.get(m.Key)
+	c, ok := s.owned.get(m.CellKey)
 	if !ok {
-		return s.notOwner(p, m.Key)
+		return s.notOwner(p, m.CellKey)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.owner.Acquire(s.now(), m)
 	if r.Code == holds.Full {
-		r.Least = 1 + s.totals.leastLoaded(m.Key)
+		r.Least = 1 + s.totals.leastLoaded(m.CellKey)
 	}
 	return r
 }
 
-func (s *Service) notOwner(p *plan, k holds.Key) holds.Reply {
+func (s *Service) notOwner(p *plan, k holds.CellKey) holds.Reply {
 	r := holds.Reply{Code: holds.NotOwner, Leaving: s.draining.Load()}
 	if n, ok := p.owner(k); ok && !p.stale(k) {
 		r.Owner = n.ID
@@ -100,8 +100,8 @@
 	}
 }
 
-func (s *Service) releaseOwned(h cell.Holder, e holds.Released) {
-	c, ok := s.owned.get(e.Key)
+func (s *Service) releaseOwned(h cell.Holder, e holds.EndedPlaces) {
+	c, ok := s.owned.get(e.CellKey)
 	if !ok {
 		return
 	}
@@ -120,7 +120,7 @@
 
 func (s *Service) resyncOwned(m holds.Resync) holds.ResyncReply {
 	s.plan()
-	c, ok := s.owned.get(m.Key)
+	c, ok := s.owned.get(m.CellKey)
 	if !ok {
 		return holds.ResyncReply{NotOwner: true}
 	}
@@ -131,18 +131,18 @@
 
 func (s *Service) servePull(m holds.Pull) holds.Resync {
 	m.Region = s.cfg.Region
-	return s.fullResync(s.plan(), m.Key)
+	return s.fullResync(s.plan(), m.CellKey)
 }
 
 // fullResync returns all that a new owner needs from this node: its places in a cell, and
 // the targets on which its recent chats ran.
-func (s *Service) fullResync(p *plan, k holds.Key) holds.Resync {
+func (s *Service) fullResync(p *plan, k holds.CellKey) holds.Resync {
 	m := s.table.BuildResync(k, cell.Holder{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m.Recent = s.recent.Recent(s.now(), recentMaxAge, func(target string) bool {
 		_, live := p.liveTarget(k, target)
-		return live && cell.Of(target, k.Of) == k.Cell
+		return live && cell.IndexOf(target, k.Of) == k.Cell
 	})
 	return m
 }
--- a/admission/service.go
+++ b/admission/service.go
@@ -23,7 +23,7 @@
 // Intervals and limits of the service's work.
 const (
 	tickInterval     = 50 * time.Millisecond
-	totalsInterval   = cell.DefaultGap
+	totalsInterval   = cell.DefaultMinInterval
 	releaseDelay     = 25 * time.Millisecond // releases are collected that long before they are sent
 	reportDelay      = 200 * time.Millisecond
 	resyncRetry      = time.Second
@@ -85,7 +85,7 @@
 	leaving     map[string]leavingNode
 	currentPlan *plan
 	nextTotals  time.Time
-	recent      *cell.Memory // the targets on which this node's chats last ran
+	recent      *cell.LastTargets // the targets on which this node's chats last ran
 }
 
 // leavingNode is a node that has announced that it hands its cells over.
@@ -101,7 +101,7 @@
 		log: l, metrics: newMetrics(reg), now: time.Now, spawn: func(f func()) { go f() },
 		releases: newReleases(), owned: newOwned(), totals: newTotals(),
 		links: make(map[string]*link), leaving: make(map[string]leavingNode),
-		recent: cell.NewMemory(recentChats),
+		recent: cell.NewLastTargets(recentChats),
 	}
 	s.table = holds.NewTable(s.self, holds.Timing{Interval: cfg.Resync, Retry: resyncRetry, Report: reportDelay})
 	observeState(reg, s)
@@ -199,7 +199,7 @@
 		return ok && n.State == membership.Dead
 	}
 	silent := now.Add(-silentIntervals * s.cfg.Resync)
-	s.owned.each(func(_ holds.Key, c *ownedCell) { c.owner.Expire(silent, dead) })
+	s.owned.each(func(_ holds.CellKey, c *ownedCell) { c.owner.Expire(silent, dead) })
 	s.local.expire(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/admission/sync.go
+++ b/admission/sync.go
@@ -16,7 +16,7 @@
 
 // resyncDue sends the resyncs that are due, each to the cell's owner.
 func (s *Service) resyncDue(ctx context.Context, p *plan) {
-	due := s.table.DueResyncs(s.now(), func(k holds.Key) (cell.Holder, bool) {
+	due := s.table.DueResyncs(s.now(), func(k holds.CellKey) (cell.Holder, bool) {
 		n, ok := p.owner(k)
 		return holderOf(n), ok
 	})
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -11,13 +11,13 @@
 )
 
 // totalsMaxAge is the age beyond which the totals of a cell aren't used.
-const totalsMaxAge = 3 * cell.DefaultQuiet
+const totalsMaxAge = 3 * cell.DefaultMaxInterval
 
 // totals has the load of all cells as last announced by their owners.
 type totals struct {
 	mu    sync.Mutex
 	seq   uint64
-	cells map[holds.Key]receivedTotals
+	cells map[holds.CellKey]receivedTotals
 }
 
 type receivedTotals struct {
@@ -27,10 +27,10 @@
 	load cell.Totals
 }
 
-func newTotals() *totals { return &totals{cells: make(map[holds.Key]receivedTotals)} }
+func newTotals() *totals { return &totals{cells: make(map[holds.CellKey]receivedTotals)} }
 
 // record stores an announcement unless a newer one from the same node is stored.
-func (t *totals) record(k holds.Key, h receivedTotals) {
+func (t *totals) record(k holds.CellKey, h receivedTotals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, ok := t.cells[k]
@@ -43,7 +43,7 @@
 
 // others returns the total load of the pool's other cells, as far as it was announced within
 // totalsMaxAge.
-func (t *totals) others(keys []holds.Key, self holds.Key, now time.Time) cell.Totals {
+func (t *totals) others(keys []holds.CellKey, self holds.CellKey, now time.Time) cell.Totals {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var sum cell.Totals
@@ -60,7 +60,7 @@
 
 // leastLoaded returns the pool's cell, other than k, with the least load for its capacity,
 // or -1 if none was announced.
-func (t *totals) leastLoaded(k holds.Key) int {
+func (t *totals) leastLoaded(k holds.CellKey) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, bestLoad := -1, 0.0
@@ -83,7 +83,7 @@
 	return t.seq
 }
 
-func (s *Service) othersOf(p *plan, k holds.Key, now time.Time) cell.Totals {
+func (s *Service) othersOf(p *plan, k holds.CellKey, now time.Time) cell.Totals {
 	return s.totals.others(p.keys(k.Pool, k.Region), k, now)
 }
 
@@ -91,7 +91,7 @@
 // its other cells.
 func (s *Service) recordOwnTotals(now time.Time) {
 	seq := s.totals.nextSeq()
-	s.owned.each(func(k holds.Key, c *ownedCell) {
+	s.owned.each(func(k holds.CellKey, c *ownedCell) {
 		if c.owner.Recovering() {
 			return
 		}
@@ -103,7 +103,7 @@
 // of the pool's other cells.
 func (s *Service) sendTotals(ctx context.Context, p *plan, now time.Time) {
 	byNode := make(map[string]*holds.Totals)
-	s.owned.each(func(k holds.Key, c *ownedCell) {
+	s.owned.each(func(k holds.CellKey, c *ownedCell) {
 		load := c.owner.Totals()
 		if c.owner.Recovering() || !c.announcer.Due(now, load) {
 			return
@@ -113,7 +113,7 @@
 				byNode[n.ID] = &holds.Totals{From: s.self}
 			}
 			m := byNode[n.ID]
-			m.Cells = append(m.Cells, holds.CellTotals{Key: k, InFlight: load.InFlight, Capacity: load.Capacity})
+			m.Cells = append(m.Cells, holds.CellTotals{CellKey: k, InFlight: load.InFlight, Capacity: load.Capacity})
 		}
 	})
 	seq := s.totals.nextSeq()
@@ -129,7 +129,7 @@
 }
 
 // otherOwners returns the other nodes that own cells of the pool.
-func (s *Service) otherOwners(p *plan, k holds.Key) []membership.Node {
+func (s *Service) otherOwners(p *plan, k holds.CellKey) []membership.Node {
 	seen := map[string]bool{s.cfg.Node: true}
 	var out []membership.Node
 	for _, other := range p.keys(k.Pool, k.Region) {
@@ -147,10 +147,10 @@
 	now := s.now()
 	for _, c := range m.Cells {
 		c.Region = s.cfg.Region
-		if n, ok := p.owner(c.Key); !ok || n.ID != m.Node {
+		if n, ok := p.owner(c.CellKey); !ok || n.ID != m.Node {
 			continue
 		}
 		load := cell.Totals{InFlight: c.InFlight, Capacity: c.Capacity}
-		s.totals.record(c.Key, receivedTotals{from: m.From, seq: m.Seq, at: now, load: load})
+		s.totals.record(c.CellKey, receivedTotals{from: m.From, seq: m.Seq, at: now, load: load})
 	}
 }
--- a/lab/capacity/probe_cell.go
+++ b/lab/capacity/probe_cell.go
@@ -68,9 +68,9 @@
 	return c
 }
 
-func ask(i int) cell.Ask {
+func ask(i int) cell.AcquireRequest {
 	id := strconv.Itoa(i)
-	return cell.Ask{
+	return cell.AcquireRequest{
 		Holder:  cell.Holder{Node: "node-" + strconv.Itoa(i%holders), Incarnation: 1},
 		Request: id, Chat: routing.Hash(id), Workspace: "workspace-" + strconv.Itoa(i%100), Weight: 1,
 		Urgency: 3,
--- a/lab/measure/retries/suspension.go
+++ b/lab/measure/retries/suspension.go
@@ -175,7 +175,7 @@
 	}
 	s.serial++
 	e.request = strconv.FormatUint(s.serial, 36)
-	v := s.pools[e.pool].Acquire(e.at, cell.Ask{
+	v := s.pools[e.pool].Acquire(e.at, cell.AcquireRequest{
 		Request: e.request, Chat: e.chat, Exclude: e.exclude, Returning: true, Last: true,
 	})
 	if v.Outcome != cell.Granted {
--- a/lab/measure/routing/owners.go
+++ b/lab/measure/routing/owners.go
@@ -26,7 +26,7 @@
 	holds  []map[*request]struct{}
 	totals []cell.Totals // by cell, as last exchanged
 	// recent are by node: where it placed chats.
-	recent []*cell.Memory
+	recent []*cell.LastTargets
 	// announcers are by node.
 	announcers []cell.Announcer
 }
@@ -43,8 +43,8 @@
 	for range s.scenario.nodes {
 		p.cells = append(p.cells, make([]*owner, len(p.totals)))
 		p.holds = append(p.holds, make(map[*request]struct{}))
-		p.recent = append(p.recent, cell.NewMemory(entryMemory))
-		p.announcers = append(p.announcers, cell.Announcer{Quiet: seconds(s.quiet), Gap: min(seconds(s.quiet), cell.DefaultGap)})
+		p.recent = append(p.recent, cell.NewLastTargets(entryMemory))
+		p.announcers = append(p.announcers, cell.Announcer{MaxInterval: seconds(s.quiet), MinInterval: min(seconds(s.quiet), cell.DefaultMinInterval)})
 	}
 	return p
 }
@@ -114,20 +114,20 @@
 
 // ask sends an Ask to the owner that the entry node believes in. It returns
 // false if that node doesn't answer or doesn't own the cell.
-func (p *owners) ask(r *request, n *node, k int, last bool) (cell.Verdict, bool) {
+func (p *owners) ask(r *request, n *node, k int, last bool) (cell.Decision, bool) {
 	s := p.sim
 	if n.view.owners[k] < 0 {
-		return cell.Verdict{}, false
+		return cell.Decision{}, false
 	}
 	to := s.nodes[n.view.owners[k]]
-	a := cell.Ask{
+	a := cell.AcquireRequest{
 		Holder: n.holder(), Request: r.id, Chat: r.chat.id, Workspace: workspaceName(r.chat.workspace),
 		Weight: workspaceWeight(r.chat.workspace), Urgency: r.chat.urgency, Exclude: r.exclude, Returning: r.chat.turns > 0, Last: last,
 	}
 	s.message(n, to, wireSizes.ask(len(a.Exclude)))
 	o := p.cells[to.index][k]
 	if to.state != nodeUp || o == nil {
-		return cell.Verdict{}, false
+		return cell.Decision{}, false
 	}
 	v := o.cell.Acquire(s.time(), a)
 	s.message(to, n, wireSizes.verdict(v.Outcome))
@@ -171,7 +171,7 @@
 func (p *owners) nodeLost(n *node) {
 	p.cells[n.index] = make([]*owner, len(p.totals))
 	p.holds[n.index] = make(map[*request]struct{})
-	p.recent[n.index] = cell.NewMemory(entryMemory)
+	p.recent[n.index] = cell.NewLastTargets(entryMemory)
 }
 
 func (p *owners) tick() {
--- a/lab/measure/routing/scenario.go
+++ b/lab/measure/routing/scenario.go
@@ -82,7 +82,7 @@
 	set(&s.length, 180)
 	set(&s.spread, 2)
 	set(&s.resync, 10)
-	set(&s.quiet, cell.DefaultQuiet.Seconds())
+	set(&s.quiet, cell.DefaultMaxInterval.Seconds())
 	return s
 }
 
--- a/lab/measure/routing/takeover.go
+++ b/lab/measure/routing/takeover.go
@@ -48,17 +48,17 @@
 		return
 	}
 	to := p.sim.nodes[v.owners[k]]
-	p.remember(n, to, k, o.cell.Memory().Recent(p.sim.time(), recentAge, func(string) bool { return true }))
+	p.remember(n, to, k, o.cell.LastTargets().Recent(p.sim.time(), recentAge, func(string) bool { return true }))
 }
 
 // remember sends chats' last targets to the owner of a cell.
-func (p *owners) remember(from, to *node, k int, list []cell.Recent) {
+func (p *owners) remember(from, to *node, k int, list []cell.RecentChat) {
 	if p.sim.noHandover || len(list) == 0 {
 		return
 	}
 	p.sim.message(from, to, wireSizes.remember(len(list)))
 	if o := p.cells[to.index][k]; o != nil && to.state == nodeUp {
-		o.cell.Memory().Merge(p.sim.time(), list)
+		o.cell.LastTargets().Merge(p.sim.time(), list)
 	}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // recentIn lists what an entry node placed in a cell.
-func (p *owners) recentIn(n *node, k int) []cell.Recent {
+func (p *owners) recentIn(n *node, k int) []cell.RecentChat {
 	s := p.sim
 	return p.recent[n.index].Recent(s.time(), recentAge, func(target string) bool { return s.cellOf(s.index[target]) == k })
 }
@@ -111,7 +111,7 @@
 	}
 	for _, o := range p.cells[n.index] {
 		if o != nil {
-			o.cell.Excuse(dead.holder())
+			o.cell.StopWaiting(dead.holder())
 		}
 	}
 	p.sim.after(forgetGrace, func() {
@@ -129,7 +129,7 @@
 		}
 		for _, h := range o.cell.Holders() {
 			if h.Node == dead.id {
-				o.cell.Forget(h)
+				o.cell.DropHolder(h)
 			}
 		}
 	}
@@ -140,10 +140,10 @@
 func (p *owners) resync(n *node, k int, fresh bool) {
 	s := p.sim
 	to := s.nodes[n.view.owners[k]]
-	var list []cell.Hold
+	var list []cell.Place
 	for _, r := range sortedRequests(p.holds[n.index]) {
 		if s.cellOf(r.engine) == k {
-			list = append(list, cell.Hold{
+			list = append(list, cell.Place{
 				Request: r.id, Target: s.engines[r.engine].id,
 				Workspace: workspaceName(r.chat.workspace), Chat: r.chat.id,
 			})
--- a/lab/measure/routing/view.go
+++ b/lab/measure/routing/view.go
@@ -125,7 +125,7 @@
 	if s.way == wayPerEngine {
 		return i % k
 	}
-	return cell.Of(s.engines[i].id, k)
+	return cell.IndexOf(s.engines[i].id, k)
 }
 
 // spareEngines is room for engines that join, where each is a cell.
--- a/lab/measure/routing/wire.go
+++ b/lab/measure/routing/wire.go
@@ -51,14 +51,14 @@
 type sampler struct {
 	rng  *rand.Rand
 	from holds.From
-	key  holds.Key
+	key  holds.CellKey
 }
 
 func newSizes(rng *rand.Rand) sizes {
 	s := sampler{
 		rng:  rng,
 		from: holds.From{Node: "node-001", Incarnation: 1_700_000_000_000_000_000},
-		key:  holds.Key{Pool: "asistente-lm", Cell: 10, Of: 26},
+		key:  holds.CellKey{Pool: "asistente-lm", Cell: 10, Of: 26},
 	}
 	asks := onWire(s.acquire(0), s.release)
 	return sizes{
@@ -109,7 +109,7 @@
 func (s sampler) acquire(exclude int) func() any {
 	return func() any {
 		m := holds.Acquire{
-			From: s.from, Key: s.key, Seq: s.rng.Uint64N(1e6), Chat: s.rng.Uint64(),
+			From: s.from, CellKey: s.key, Seq: s.rng.Uint64N(1e6), Chat: s.rng.Uint64(),
 			Workspace: workspaceName(s.rng.IntN(workspaces)), Weight: 1.25, Urgency: 3, Returning: s.rng.IntN(4) > 0,
 		}
 		for range exclude {
@@ -123,7 +123,7 @@
 
 func (s sampler) release() any {
 	return notice("admission.release", holds.Release{
-		From: s.from, Cells: []holds.Released{{Key: s.key, Seqs: holds.Seqs{s.rng.Uint64N(1e6)}}},
+		From: s.from, Cells: []holds.EndedPlaces{{CellKey: s.key, Seqs: holds.Seqs{s.rng.Uint64N(1e6)}}},
 	})
 }
 
@@ -135,7 +135,7 @@
 
 func (s sampler) resync(n int) func() any {
 	return func() any {
-		m := holds.Resync{From: s.from, Key: s.key, At: s.rng.Uint64N(1e6)}
+		m := holds.Resync{From: s.from, CellKey: s.key, At: s.rng.Uint64N(1e6)}
 		seq := m.At
 		for range n {
 			seq += 1 + s.rng.Uint64N(2*sampleSeqStep)
@@ -149,9 +149,9 @@
 
 func (s sampler) details(n int) func() any {
 	return func() any {
-		list := make([]holds.Detail, n)
+		list := make([]holds.Place, n)
 		for i := range list {
-			list[i] = holds.Detail{
+			list[i] = holds.Place{
 				Seq: s.rng.Uint64N(1e6), Target: s.target(),
 				Workspace: workspaceName(s.rng.IntN(workspaces)), Chat: s.rng.Uint64(),
 			}
@@ -162,21 +162,23 @@
 
 func (s sampler) recent(n int) func() any {
 	return func() any {
-		list := make([]cell.Recent, n)
+		list := make([]cell.RecentChat, n)
 		for i := range list {
-			list[i] = cell.Recent{Chat: s.rng.Uint64(), Target: s.target(), Age: time.Duration(s.rng.IntN(300)) * time.Second}
+			list[i] = cell.RecentChat{Chat: s.rng.Uint64(), Target: s.target(), Age: time.Duration(s.rng.IntN(300)) * time.Second}
 		}
 		return s.answer(list)
 	}
 }
 
-func (s sampler) pull() any { return notice("admission.pull", holds.Pull{From: s.from, Key: s.key}) }
+func (s sampler) pull() any {
+	return notice("admission.pull", holds.Pull{From: s.from, CellKey: s.key})
+}
 
 func (s sampler) totals(n int) func() any {
 	return func() any {
 		m := holds.Totals{From: s.from, Seq: s.rng.Uint64N(1e6)}
 		for range n {
-			m.Cells = append(m.Cells, holds.CellTotals{Key: s.key, InFlight: 400 + s.rng.IntN(200), Capacity: 30})
+			m.Cells = append(m.Cells, holds.CellTotals{CellKey: s.key, InFlight: 400 + s.rng.IntN(200), Capacity: 30})
 		}
 		return notice("admission.totals", m)
 	}
