--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -74,7 +74,7 @@
 }
 
 // BenchmarkPlaceMemory reports the heap bytes of a place, at the node that holds it and at
-// the owner together, including the chat's entry in Memory at both.
+// the owner together, including the chat's entry in LastTargets at both.
 func BenchmarkPlaceMemory(b *testing.B) {
 	const nodes, inFlight = 53, 260
 	for range b.N {
--- a/admission/cell/admit.go
+++ b/admission/cell/admit.go
@@ -16,8 +16,8 @@
 	retrySpread = 4 * time.Second
 )
 
-// admit refuses an Ask for which the whole pool has no capacity. It returns Granted if the
-// Ask may be placed.
+// admit refuses a request for which the whole pool has no capacity. It returns Granted if the
+// request may be placed.
 func (c *Cell) admit(now time.Time, a AcquireRequest) Decision {
 	c.checkPause(now)
 	if c.recovery.recovering() {
--- a/admission/cell/admit_test.go
+++ b/admission/cell/admit_test.go
@@ -73,11 +73,11 @@
 func cellWithLoad(n int) *Cell {
 	c := New(Config{LoadFactor: 100, MaxInFlight: 20, Reserve: 0.2})
 	c.SetTargets([]Target{{ID: "a", Capacity: 1}})
-	var holds []Place
+	var places []Place
 	for i := range n {
-		holds = append(holds, Place{Request: fmt.Sprint(i), Target: "a", Workspace: "greedy"})
+		places = append(places, Place{Request: fmt.Sprint(i), Target: "a", Workspace: "greedy"})
 	}
-	c.Resync(Holder{Node: "greedy"}, holds)
+	c.Resync(Holder{Node: "greedy"}, places)
 	return c
 }
 
--- a/admission/cell/bench_test.go
+++ b/admission/cell/bench_test.go
@@ -31,15 +31,15 @@
 func evenlyLoadedCell(n, each int) *Cell {
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 64})
 	targets := make([]Target, n)
-	var holds []Place
+	var places []Place
 	for i := range targets {
 		targets[i] = Target{ID: fmt.Sprintf("engine-%04d", i), Capacity: 1}
 		for j := range each {
-			holds = append(holds, Place{Request: fmt.Sprint(i, "/", j), Target: targets[i].ID, Chat: uint64(i*each + j)})
+			places = append(places, Place{Request: fmt.Sprint(i, "/", j), Target: targets[i].ID, Chat: uint64(i*each + j)})
 		}
 	}
 	c.SetTargets(targets)
-	c.Resync(Holder{Node: "load"}, holds)
+	c.Resync(Holder{Node: "load"}, places)
 	return c
 }
 
--- a/admission/cell/cell.go
+++ b/admission/cell/cell.go
@@ -18,16 +18,16 @@
 
 // Cell is the owner's state of one cell. It isn't safe for concurrent use.
 type Cell struct {
-	cfg      Config
-	slots    []slot
-	index    map[string]int // target ID to its index in slots
-	own      Totals
-	others   Totals
-	holds    map[Holder]map[string]Place
-	shares   shares
-	memory   *LastTargets
-	recovery recovery
-	trend    trend
+	cfg         Config
+	slots       []slot
+	index       map[string]int // target ID to its index in slots
+	own         Totals
+	others      Totals
+	places      map[Holder]map[string]Place
+	shares      shares
+	lastTargets *LastTargets
+	recovery    recovery
+	trend       trend
 	// health has the targets that failed recently. suspended is the capacity of the suspended
 	// ones, and trials is the number of the last trial request to one of them.
 	health    map[string]*health
@@ -52,12 +52,12 @@
 func New(cfg Config) *Cell {
 	cfg = withDefaults(cfg)
 	return &Cell{
-		cfg:    cfg,
-		index:  make(map[string]int),
-		holds:  make(map[Holder]map[string]Place),
-		shares: newShares(),
-		memory: NewLastTargets(cfg.MaxChats),
-		health: make(map[string]*health),
+		cfg:         cfg,
+		index:       make(map[string]int),
+		places:      make(map[Holder]map[string]Place),
+		shares:      newShares(),
+		lastTargets: NewLastTargets(cfg.MaxChats),
+		health:      make(map[string]*health),
 	}
 }
 
@@ -65,7 +65,7 @@
 func (c *Cell) Configure(cfg Config) {
 	cfg = withDefaults(cfg)
 	if cfg.MaxChats != c.cfg.MaxChats {
-		c.memory.resize(cfg.MaxChats)
+		c.lastTargets.resize(cfg.MaxChats)
 	}
 	c.cfg = cfg
 }
@@ -73,7 +73,7 @@
 func withDefaults(cfg Config) Config {
 	cfg.NewFactor = orDefault(cfg.NewFactor, DefaultNewFactor)
 	cfg.Reserve = max(orDefault(cfg.Reserve, DefaultReserve), 0)
-	cfg.MaxChats = orDefault(cfg.MaxChats, DefaultMemory)
+	cfg.MaxChats = orDefault(cfg.MaxChats, DefaultMaxChats)
 	cfg.MaxPause = orDefault(cfg.MaxPause, DefaultMaxPause)
 	return cfg
 }
@@ -129,7 +129,7 @@
 
 // LastTargets returns the record of where chats last ran. A new owner merges the records of the
 // previous owner, if it is reachable, and of the entry nodes.
-func (c *Cell) LastTargets() *LastTargets { return c.memory }
+func (c *Cell) LastTargets() *LastTargets { return c.lastTargets }
 
 // Totals returns the load of this cell's usable targets. During a takeover the requests of
 // holders that haven't reported are estimated. While Recovering, before half of them have
@@ -138,10 +138,10 @@
 	return Totals{InFlight: c.recovery.extrapolate(c.own.InFlight), Capacity: c.own.Capacity}
 }
 
-// Acquire decides an Ask and counts the place if granted. It is idempotent: a repeated Ask
-// with the same holder and request gets the same place.
+// Acquire decides an AcquireRequest and counts the place if granted. It is idempotent: a
+// repetition with the same holder and request gets the same place.
 func (c *Cell) Acquire(now time.Time, a AcquireRequest) Decision {
-	if h, ok := c.holds[a.Holder][a.Request]; ok && !slices.Contains(a.Exclude, h.Target) {
+	if h, ok := c.places[a.Holder][a.Request]; ok && !slices.Contains(a.Exclude, h.Target) {
 		return Decision{Outcome: Granted, Target: h.Target}
 	}
 	if v := c.admit(now, a); v.Outcome != Granted {
@@ -157,13 +157,13 @@
 }
 
 func (c *Cell) grant(now time.Time, a AcquireRequest, s *slot) Decision {
-	hold := Place{Request: a.Request, Target: s.id, Workspace: a.Workspace, Chat: a.Chat}
-	hold.granted, hold.incarnation = true, s.incarnation
+	place := Place{Request: a.Request, Target: s.id, Workspace: a.Workspace, Chat: a.Chat}
+	place.granted, place.incarnation = true, s.incarnation
 	if !s.usable {
-		hold.trial = c.beginTrial(s.id)
+		place.trial = c.beginTrial(s.id)
 	}
-	c.add(a.Holder, hold)
-	c.memory.Put(now, a.Chat, s.id)
+	c.add(a.Holder, place)
+	c.lastTargets.Put(now, a.Chat, s.id)
 	return Decision{Outcome: Granted, Target: s.id}
 }
 
@@ -177,22 +177,22 @@
 
 // Release ends a place. It does nothing if the place is unknown.
 func (c *Cell) Release(h Holder, request string) {
-	hold, ok := c.holds[h][request]
+	place, ok := c.places[h][request]
 	if !ok {
 		return
 	}
-	delete(c.holds[h], request)
-	c.remove(hold)
+	delete(c.places[h], request)
+	c.remove(place)
 }
 
 // Resync replaces all places of a holder by those that it reports. It rebuilds the count
 // after a change of owner and repairs lost releases. The list must be the holder's newest
 // and include the places whose grants are still on their way to it.
-func (c *Cell) Resync(h Holder, holds []Place) {
-	keep := make(map[string]bool, len(holds))
-	for _, hold := range holds {
-		keep[hold.Request] = true
-		c.add(h, hold)
+func (c *Cell) Resync(h Holder, places []Place) {
+	keep := make(map[string]bool, len(places))
+	for _, place := range places {
+		keep[place.Request] = true
+		c.add(h, place)
 	}
 	for request := range c.holder(h) {
 		if !keep[request] {
@@ -204,27 +204,27 @@
 
 // DropHolder drops all places of a holder, for example of a dead node.
 func (c *Cell) DropHolder(h Holder) {
-	for _, hold := range c.holds[h] {
-		c.remove(hold)
+	for _, place := range c.places[h] {
+		c.remove(place)
 	}
-	delete(c.holds, h)
+	delete(c.places, h)
 	c.recovery.stopWaiting(h)
 }
 
 // Holders returns the holders that have a place or have had one.
 func (c *Cell) Holders() []Holder {
-	out := make([]Holder, 0, len(c.holds))
-	for h := range c.holds {
+	out := make([]Holder, 0, len(c.places))
+	for h := range c.places {
 		out = append(out, h)
 	}
 	return out
 }
 
 func (c *Cell) holder(h Holder) map[string]Place {
-	m := c.holds[h]
+	m := c.places[h]
 	if m == nil {
 		m = make(map[string]Place)
-		c.holds[h] = m
+		c.places[h] = m
 	}
 	return m
 }
@@ -242,8 +242,8 @@
 	m[place.Request] = place
 	c.count(place.Target, 1)
 	c.shares.add(place.Workspace, 1)
-	if _, known := c.memory.Get(place.Chat); !known {
-		c.memory.Put(time.UnixMilli(0), place.Chat, place.Target)
+	if _, known := c.lastTargets.Get(place.Chat); !known {
+		c.lastTargets.Put(time.UnixMilli(0), place.Chat, place.Target)
 	}
 }
 
--- a/admission/cell/cell_test.go
+++ b/admission/cell/cell_test.go
@@ -52,7 +52,7 @@
 func (m *cellModel) Acquire(t *rapid.T) {
 	a := drawAsk(t)
 	before := m.recount()
-	old, had := m.c.holds[a.Holder][a.Request]
+	old, had := m.c.places[a.Holder][a.Request]
 	v := m.c.Acquire(epoch, a)
 	is := is.New(t)
 	if had && !slices.Contains(a.Exclude, old.Target) {
@@ -65,7 +65,7 @@
 		return
 	}
 	if had && old.Target == v.Target {
-		is.Equal(m.recount(), before) // a repeated Ask isn't counted again
+		is.Equal(m.recount(), before) // a repeated request isn't counted again
 		return
 	}
 	tg, ok := m.target(v.Target)
@@ -94,15 +94,15 @@
 func (m *cellModel) Forget(t *rapid.T) { m.c.DropHolder(drawAsk(t).Holder) }
 
 func (m *cellModel) Resync(t *rapid.T) {
-	var holds []Place
+	var places []Place
 	for range rapid.IntRange(0, 4).Draw(t, "holds") {
 		a := drawAsk(t)
-		holds = append(holds, Place{
+		places = append(places, Place{
 			Request: a.Request, Chat: a.Chat, Workspace: a.Workspace,
 			Target: fmt.Sprintf("engine-%d", rapid.IntRange(0, 12).Draw(t, "target")),
 		})
 	}
-	m.c.Resync(drawAsk(t).Holder, holds)
+	m.c.Resync(drawAsk(t).Holder, places)
 }
 
 // Check recounts the places and compares the counts of targets and workspaces.
@@ -134,7 +134,7 @@
 
 func (m *cellModel) recount() map[string]int {
 	counts := make(map[string]int)
-	for _, places := range m.c.holds {
+	for _, places := range m.c.places {
 		for _, p := range places {
 			counts[p.Target]++
 		}
@@ -187,8 +187,8 @@
 		truth := []Place{{Request: "kept", Target: "engine-1", Workspace: "w", Chat: 1}}
 		m.c.Resync(h, truth)
 		is := is.New(rt)
-		is.Equal(len(m.c.holds[h]), 1)
-		is.Equal(m.c.holds[h]["kept"], truth[0])
+		is.Equal(len(m.c.places[h]), 1)
+		is.Equal(m.c.places[h]["kept"], truth[0])
 		m.Check(rt)
 	})
 }
@@ -220,15 +220,15 @@
 			is := is.New(t)
 			c := New(Config{LoadFactor: 1.25, MaxInFlight: 64})
 			c.SetTargets(targets)
-			var holds []Place
+			var places []Place
 			for id, n := range tt.load {
 				for i := range n {
-					holds = append(holds, Place{Request: fmt.Sprint(id, i), Target: id, Chat: 1000})
+					places = append(places, Place{Request: fmt.Sprint(id, i), Target: id, Chat: 1000})
 				}
 			}
-			c.Resync(Holder{Node: "n"}, holds)
+			c.Resync(Holder{Node: "n"}, places)
 			if tt.last != "" {
-				c.memory.Put(epoch, chat, tt.last)
+				c.lastTargets.Put(epoch, chat, tt.last)
 			}
 			v := c.Acquire(epoch, AcquireRequest{Request: "r", Chat: chat, Returning: tt.returning, Exclude: tt.exclude})
 			is.Equal(v.Target, tt.want)
--- a/admission/cell/health.go
+++ b/admission/cell/health.go
@@ -105,11 +105,11 @@
 // suspension that it caused, if any. A failure counts only if this cell granted the place
 // and the target's incarnation is still the same.
 func (c *Cell) Report(now time.Time, h Holder, request string, r Result) (Suspension, bool) {
-	hold, ok := c.holds[h][request]
+	place, ok := c.places[h][request]
 	if !ok || r == Unknown {
 		return Suspension{}, false
 	}
-	i := c.index[hold.Target]
+	i := c.index[place.Target]
 	if r == Overloaded && !c.idle(i) {
 		return Suspension{}, false
 	}
@@ -117,21 +117,21 @@
 		c.succeed(now, i)
 		return Suspension{}, false
 	}
-	if !c.slots[i].listed || !hold.granted || hold.incarnation != c.slots[i].incarnation {
+	if !c.slots[i].listed || !place.granted || place.incarnation != c.slots[i].incarnation {
 		return Suspension{}, false
 	}
-	return c.fail(now, i, hold)
+	return c.fail(now, i, place)
 }
 
-func (c *Cell) fail(now time.Time, i int, hold Place) (Suspension, bool) {
+func (c *Cell) fail(now time.Time, i int, place Place) (Suspension, bool) {
 	s := &c.slots[i]
 	t := c.health[s.id]
 	if t == nil {
 		t = &health{incarnation: s.incarnation}
 		c.health[s.id] = t
 	}
-	enough := t.fail(hold.Chat)
-	if t.suspended && t.trial != 0 && t.trial == hold.trial {
+	enough := t.fail(place.Chat)
+	if t.suspended && t.trial != 0 && t.trial == place.trial {
 		return Suspension{s.id, t.suspend(now, s.key)}, true
 	}
 	if t.suspended || !enough || !c.maySuspend(s.capacity) {
--- a/admission/cell/memory.go
+++ b/admission/cell/memory.go
@@ -26,7 +26,7 @@
 	at     int64 // Unix time in milliseconds
 }
 
-// NewLastTargets returns a Memory of at most size chats.
+// NewLastTargets returns a LastTargets of at most size chats.
 func NewLastTargets(size int) *LastTargets {
 	chats, _ := simplelru.NewLRU[uint64, placement](max(size, 1), nil)
 	return &LastTargets{chats: chats}
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Merge adds the entries of another Memory that are newer than those already held.
+// Merge adds the entries of another LastTargets that are newer than those already held.
 func (m *LastTargets) Merge(now time.Time, list []RecentChat) {
 	for _, r := range list {
 		at := now.Add(-r.Age)
--- a/admission/cell/memory_test.go
+++ b/admission/cell/memory_test.go
@@ -48,17 +48,17 @@
 	is.Equal(got, []RecentChat{{Chat: 2, Target: "b", Age: time.Minute}})
 }
 
-// A Resync adds a chat's target to Memory only if the chat has no entry yet.
+// A Resync adds a chat's target to LastTargets only if the chat has no entry yet.
 func TestResyncRebuildsMemory(t *testing.T) {
 	is := is.New(t)
 	c := New(Config{LoadFactor: 1.25, MaxInFlight: 8})
 	c.Resync(Holder{Node: "n"}, []Place{{Request: "r", Target: "a", Chat: 1}})
-	got, _ := c.memory.Get(1)
+	got, _ := c.lastTargets.Get(1)
 	is.Equal(got, "a")
-	c.memory.Merge(epoch, []RecentChat{{Chat: 1, Target: "b"}})
-	got, _ = c.memory.Get(1)
+	c.lastTargets.Merge(epoch, []RecentChat{{Chat: 1, Target: "b"}})
+	got, _ = c.lastTargets.Get(1)
 	is.Equal(got, "b")
 	c.Resync(Holder{Node: "n"}, []Place{{Request: "r", Target: "a", Chat: 1}})
-	got, _ = c.memory.Get(1)
+	got, _ = c.lastTargets.Get(1)
 	is.Equal(got, "b")
 }
--- a/admission/cell/place.go
+++ b/admission/cell/place.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// limits returns the limits for an Ask. The mean is that of the whole pool and includes the
+// limits returns the limits for a request. The mean is that of the whole pool and includes the
 // request to be placed.
 func (c *Cell) limits(returning, last bool) limits {
 	own := c.Totals()
@@ -76,7 +76,7 @@
 	return min(int(math.Ceil(limit*float64(capacity))), l.hard*capacity)
 }
 
-// candidate is the score of a target for an Ask.
+// candidate is the score of a target for a request.
 type candidate struct {
 	slot int
 	tier tier
@@ -94,10 +94,10 @@
 	return a.rank > b.rank
 }
 
-// place returns the slot index of the best target for an Ask, or -1 if none is under its
+// place returns the slot index of the best target for a request, or -1 if none is under its
 // bound.
 func (c *Cell) place(now time.Time, a AcquireRequest) int {
-	last, known := c.memory.Get(a.Chat)
+	last, known := c.lastTargets.Get(a.Chat)
 	// A returning chat whose last target is unknown may have its prefix cached on the target
 	// that ranks first for it, which is then worth a load up to the bound. A chat whose last
 	// target is known but can't be used has lost its prefix, and is placed like a new one.
--- a/admission/cell/trust_test.go
+++ b/admission/cell/trust_test.go
@@ -80,11 +80,11 @@
 		c.Takeover(all)
 		is := is.New(rt)
 		for reported, h := range all {
-			var holds []Place
+			var places []Place
 			for i := range each {
-				holds = append(holds, Place{Request: fmt.Sprint(i), Target: "a"})
+				places = append(places, Place{Request: fmt.Sprint(i), Target: "a"})
 			}
-			c.Resync(h, holds)
+			c.Resync(h, places)
 			is.True(c.Totals().InFlight >= each*(reported+1))
 			is.Equal(c.Recovering(), 2*(reported+1) < n)
 			if !c.Recovering() {
--- a/admission/cell/types.go
+++ b/admission/cell/types.go
@@ -34,7 +34,7 @@
 const (
 	DefaultNewFactor = 1.0
 	DefaultReserve   = 0.15
-	DefaultMemory    = 1 << 15
+	DefaultMaxChats  = 1 << 15
 	DefaultMaxPause  = 2 * time.Second
 )
 
@@ -68,10 +68,10 @@
 	Last bool
 }
 
-// Outcome is the kind of a Verdict.
+// Outcome is the kind of a Decision.
 type Outcome int
 
-// Outcomes of an Ask.
+// Outcomes of an AcquireRequest.
 const (
 	Granted Outcome = iota
 	// Full means that no target of the cell is under its bound: ask the owner of another cell.
@@ -80,10 +80,10 @@
 	Refused
 )
 
-// Reason is why a Verdict is not Granted.
+// Reason is why a Decision is not Granted.
 type Reason int
 
-// Reasons of a Verdict.
+// Reasons of a Decision.
 const (
 	ReasonNone Reason = iota
 	// ReasonSaturated means that the pool has no capacity left for this urgency.
@@ -113,7 +113,7 @@
 	return "none"
 }
 
-// Decision is the answer to an Ask.
+// Decision is the answer to an AcquireRequest.
 type Decision struct {
 	Outcome    Outcome
 	Target     string
--- a/admission/holds/owner.go
+++ b/admission/holds/owner.go
@@ -72,7 +72,7 @@
 // Recovering reports whether too few holders have reported for the cell to grant places.
 func (o *Owner) Recovering() bool { return o.cell.Recovering() }
 
-// MergeRecent adds the targets on which a node's chats last ran to the cell's Memory.
+// MergeRecent adds the targets on which a node's chats last ran to the cell's LastTargets.
 func (o *Owner) MergeRecent(now time.Time, recent []cell.RecentChat) {
 	o.cell.LastTargets().Merge(now, recent)
 }
--- a/admission/holds/table.go
+++ b/admission/holds/table.go
@@ -26,7 +26,7 @@
 }
 
 type tableCell struct {
-	holds      map[uint64]*place
+	places     map[uint64]*place
 	pending    map[uint64]struct{}
 	lastOwner  cell.Holder // owner that the last resync was due to
 	nextResync time.Time
@@ -66,7 +66,7 @@
 	defer t.mu.Unlock()
 	c := t.cell(now, k, owner)
 	delete(c.pending, d.Seq)
-	c.holds[d.Seq] = &place{Place: d, recordedBy: owner}
+	c.places[d.Seq] = &place{Place: d, recordedBy: owner}
 }
 
 // GiveUp cancels a pending ask. The caller should send the owner a release of it.
@@ -85,7 +85,7 @@
 	c := t.cell(now, k, owner)
 	t.next++
 	d.Seq = t.next
-	c.holds[d.Seq] = &place{Place: d}
+	c.places[d.Seq] = &place{Place: d}
 	if soon := now.Add(t.timing.Report); soon.Before(c.nextResync) {
 		c.nextResync = soon
 	}
@@ -97,14 +97,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := t.cells[k]; ok {
-		if _, held := c.holds[seq]; held {
-			delete(c.holds, seq)
+		if _, held := c.places[seq]; held {
+			delete(c.places, seq)
 			return k
 		}
 	}
 	for moved, c := range t.cells {
-		if _, held := c.holds[seq]; held {
-			delete(c.holds, seq)
+		if _, held := c.places[seq]; held {
+			delete(c.places, seq)
 			return moved
 		}
 	}
@@ -117,7 +117,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, c := range t.cells {
-		n += len(c.holds)
+		n += len(c.places)
 	}
 	return n
 }
@@ -157,7 +157,7 @@
 	if !ok {
 		return m
 	}
-	for q, p := range c.holds {
+	for q, p := range c.places {
 		if p.recordedBy == owner && owner != (cell.Holder{}) {
 			m.Held = append(m.Held, q)
 		} else {
@@ -189,18 +189,18 @@
 		return
 	}
 	for _, d := range m.Details {
-		if p, held := c.holds[d.Seq]; held {
+		if p, held := c.places[d.Seq]; held {
 			p.recordedBy = owner
 		}
 	}
 	for _, q := range r.Missing {
-		if p, held := c.holds[q]; held {
+		if p, held := c.places[q]; held {
 			p.recordedBy = cell.Holder{}
 			c.nextResync = now
 		}
 	}
 	wasEmpty := len(m.Held)+len(m.Details)+len(m.Pending) == 0
-	if wasEmpty && len(c.holds)+len(c.pending) == 0 {
+	if wasEmpty && len(c.places)+len(c.pending) == 0 {
 		delete(t.cells, m.CellKey)
 	}
 }
@@ -225,12 +225,12 @@
 			continue
 		}
 		c := t.cells[old]
-		for q, p := range c.holds {
+		for q, p := range c.places {
 			k := keyOf(old, p.Target)
-			delete(c.holds, q)
+			delete(c.places, q)
 			p.recordedBy = cell.Holder{}
 			moved := t.cell(now, k, cell.Holder{})
-			moved.holds[q] = p
+			moved.places[q] = p
 			moved.nextResync = now
 		}
 	}
@@ -240,7 +240,7 @@
 	c, ok := t.cells[k]
 	if !ok {
 		c = &tableCell{
-			holds: make(map[uint64]*place), pending: make(map[uint64]struct{}),
+			places: make(map[uint64]*place), pending: make(map[uint64]struct{}),
 			lastOwner: owner, nextResync: now.Add(t.timing.Interval),
 		}
 		t.cells[k] = c
--- a/lab/measure/routing/owners.go
+++ b/lab/measure/routing/owners.go
@@ -112,7 +112,7 @@
 	return least
 }
 
-// ask sends an Ask to the owner that the entry node believes in. It returns
+// ask sends an AcquireRequest to the owner that the entry node believes in. It returns
 // false if that node doesn't answer or doesn't own the cell.
 func (p *owners) ask(r *request, n *node, k int, last bool) (cell.Decision, bool) {
 	s := p.sim
