--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -50,15 +50,15 @@
 
 // OnLocalChange sets the function that is called when this node records a target termination or a
 // completed attempt that clears a request, so that other nodes can be notified at once. f must
-// not block; it may call the guard. OnNews must be called before the guard is used.
+// not block; it may call the guard. OnLocalChange must be called before the guard is used.
 func (g *Guard) OnLocalChange(f func()) { g.onLocalChange = f }
 
 // OnQuarantined sets the function that is called when a request is put into quarantine. The same
-// conditions as for OnNews apply to f.
+// conditions as for OnLocalChange apply to f.
 func (g *Guard) OnQuarantined(f func()) { g.onQuarantined = f }
 
-// HasEntries reports whether the table holds any request. While it doesn't, fingerprints need not be
-// computed.
+// HasEntries reports whether the table holds any request. While it doesn't, fingerprints need not
+// be computed.
 func (g *Guard) HasEntries() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +77,7 @@
 	return d
 }
 
-// Done ends an attempt for which Begin returned a Decision with Counted set.
+// Done ends an attempt for which Begin returned a Decision with MustCallDone set.
 func (g *Guard) Done(f Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,8 +168,8 @@
 	g.log.Info("request freed from quarantine: a run was completed", "fingerprint", f, "word_of", source)
 }
 
-// MergeRecords merges records received from another node or read from the stored snapshot. source is the
-// node's ID or a description, for the log.
+// MergeRecords merges records received from another node or read from the note in the store. source
+// is the node's ID or a description, for the log.
 func (g *Guard) MergeRecords(source string, records []Record) {
 	if len(records) == 0 {
 		return
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -58,8 +58,8 @@
 const (
 	// Allowed allows the attempt.
 	Allowed Verdict = iota
-	// SuspectInProgress refuses the attempt since this node already runs another one of the same request,
-	// which has strikes; the outcome of that attempt decides.
+	// SuspectInProgress refuses the attempt since this node already runs another one of the same
+	// request, which has strikes; the outcome of that attempt decides.
 	SuspectInProgress
 	// Quarantined refuses the attempt.
 	Quarantined
@@ -142,7 +142,7 @@
 	return strikes == t.cfg.Strikes && now.Sub(since) >= t.cfg.TrialDelay
 }
 
-// Done ends an attempt for which Begin returned a Decision with Counted set.
+// Done ends an attempt for which Begin returned a Decision with MustCallDone set.
 func (t *Table) Done(f Fingerprint) {
 	if e, ok := t.entries[f]; ok && e.running > 0 {
 		e.running--
@@ -157,8 +157,8 @@
 
 func (t *Table) inQuarantine(e *entry) bool { return e.strikes() >= t.cfg.Strikes }
 
-// RecordTermination records that a target, to which the request was sent at sent, terminated at ended. It
-// returns the request's strikes.
+// RecordTermination records that a target, to which the request was sent at sent, terminated at
+// ended. It returns the request's strikes.
 func (t *Table) RecordTermination(f Fingerprint, target uint32, sent, ended, now time.Time) int {
 	e := t.entry(f, now)
 	if e.addLocalEnd(end{target: target, sent: sent, ended: ended}) {
@@ -168,8 +168,8 @@
 	return e.strikes()
 }
 
-// RecordCompleted records an attempt that received a complete response. It reports whether that clears
-// strikes of the request.
+// RecordCompleted records an attempt that received a complete response. It reports whether that
+// clears strikes of the request.
 func (t *Table) RecordCompleted(f Fingerprint, now time.Time) bool {
 	e, ok := t.entries[f]
 	if !ok || !e.complete(now) {
@@ -179,8 +179,8 @@
 	return true
 }
 
-// MergeRecords merges records received from another node or read from the stored snapshot. It returns the
-// requests that this puts into quarantine and those that it releases.
+// MergeRecords merges records received from another node or read from the note in the store. It
+// returns the requests that this puts into quarantine and those that it releases.
 func (t *Table) MergeRecords(records []Record, now time.Time) (quarantined, released []Fingerprint) {
 	for _, r := range records {
 		if t.isExpired(r) {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -252,7 +252,7 @@
 	is.Equal(b.Begin(request, at(now)).Strikes, 1)
 }
 
-// A node that starts loads the quarantines from the stored snapshot.
+// A node that starts loads the quarantines from the note in the store.
 func TestSnapshotRestoresQuarantines(t *testing.T) {
 	is := is.New(t)
 	from := tableWithStrikes(3)
