--- a/damping/damping.go
+++ b/damping/damping.go
@@ -39,8 +39,8 @@
 	return &Damper{cfg: cfg, records: make(map[string]*record)}
 }
 
-// RecordDeparture records that id departed at now, or was replaced. If id has departed Threshold times
-// within Window, it starts a hold-down or a longer one.
+// RecordDeparture records that id departed at now, or was replaced. If id has departed Threshold
+// times within Window, it starts a hold-down or a longer one.
 func (d *Damper) RecordDeparture(id string, now time.Time) {
 	r, ok := d.records[id]
 	if !ok {
--- a/heartbeat/exchange.go
+++ b/heartbeat/exchange.go
@@ -339,12 +339,12 @@
 	return e.machine.view.Ahead(catalog, revision, e.now(), e.machine.subs.rng)
 }
 
-// WatcherRank returns how many live nodes precede this one in the order of the store's watchers, and
-// how many other live nodes there are.
-func (e *Exchange) WatcherRank(storeLost bool) (rank, heard int) {
+// WatcherRank returns how many live nodes precede this one in the order of the store's watchers,
+// and how many other live nodes there are.
+func (e *Exchange) WatcherRank(storeUnreachable bool) (rank, heard int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.machine.view.Rank(storeLost, e.leaving, e.now())
+	return e.machine.view.WatcherRank(storeUnreachable, e.leaving, e.now())
 }
 
 // Drain implements kernel.Drainer. From then on this node ranks last as a watcher, so that
@@ -361,7 +361,7 @@
 func (e *Exchange) ConfirmedAt(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.machine.view.Confirmed(revision)
+	return e.machine.view.ConfirmedAt(revision)
 }
 
 // LaterConfirmedAt returns when a live node at a later revision than the given one last
@@ -369,5 +369,5 @@
 func (e *Exchange) LaterConfirmedAt(revision int64) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.machine.view.ConfirmedBeyond(revision, e.now())
+	return e.machine.view.LaterConfirmedAt(revision, e.now())
 }
--- a/heartbeat/fleet_faults_test.go
+++ b/heartbeat/fleet_faults_test.go
@@ -94,7 +94,7 @@
 			is.True(g.longest <= convergenceTime)
 			f.run(warmUp)
 			for _, node := range f.nodes[n/2:] {
-				is.Equal(node.view.Lives(f.now), n-n/2)
+				is.Equal(node.view.LiveNodes(f.now), n-n/2)
 			}
 		})
 	}
@@ -292,7 +292,7 @@
 				late := 0
 				for _, node := range f.nodes {
 					known := node.confirmed
-					if other := node.view.Confirmed(0); other.After(known) {
+					if other := node.view.ConfirmedAt(0); other.After(known) {
 						known = other
 					}
 					if at.Sub(known) > time.Millisecond*10 {
--- a/heartbeat/fleet_test.go
+++ b/heartbeat/fleet_test.go
@@ -124,7 +124,7 @@
 func (f *fleet) own(n *fleetNode) Report {
 	r := Report{Revision: n.revision, ConfirmedAge: -1}
 	known := n.confirmed
-	if other := n.view.Confirmed(n.revision); other.After(known) {
+	if other := n.view.ConfirmedAt(n.revision); other.After(known) {
 		known = other
 	}
 	if !known.IsZero() {
--- a/heartbeat/known_test.go
+++ b/heartbeat/known_test.go
@@ -28,6 +28,6 @@
 
 	now = now.Add(30 * time.Second)
 	e.machine.view.Expire(now)
-	is.Equal(e.machine.view.Lives(now), 1)
+	is.Equal(e.machine.view.LiveNodes(now), 1)
 	is.Equal(e.KnownNodes(), 3)
 }
--- a/heartbeat/size_test.go
+++ b/heartbeat/size_test.go
@@ -41,10 +41,10 @@
 	v.Receive(Report{Node: "a", Sequence: 1, Revision: 9, ConfirmedAge: 300}, start)
 	v.Receive(Report{Node: "b", Sequence: 1, Revision: 8, ConfirmedAge: 100}, start)
 	v.Receive(Report{Node: "c", Sequence: 1, Revision: 10, ConfirmedAge: -1}, start)
-	is.Equal(v.ConfirmedBeyond(7, start), start.Add(-100*time.Millisecond))
-	is.Equal(v.ConfirmedBeyond(8, start), start.Add(-300*time.Millisecond))
-	is.True(v.ConfirmedBeyond(9, start).IsZero())
-	is.True(v.ConfirmedBeyond(7, start.Add(time.Hour)).IsZero())
+	is.Equal(v.LaterConfirmedAt(7, start), start.Add(-100*time.Millisecond))
+	is.Equal(v.LaterConfirmedAt(8, start), start.Add(-300*time.Millisecond))
+	is.True(v.LaterConfirmedAt(9, start).IsZero())
+	is.True(v.LaterConfirmedAt(7, start.Add(time.Hour)).IsZero())
 }
 
 // At any fleet size a group's sum is kept until the first sum of another relay can arrive.
--- a/heartbeat/view.go
+++ b/heartbeat/view.go
@@ -230,8 +230,8 @@
 // given hash.
 func (v *View) Target(hash uint64) Sum { return v.sums[uint32(hash)] }
 
-// Lives returns the number of live nodes, including this one.
-func (v *View) Lives(now time.Time) int {
+// LiveNodes returns the number of live nodes, including this one.
+func (v *View) LiveNodes(now time.Time) int {
 	n := 1
 	v.live(now, func(string, *peer) { n++ })
 	return n
@@ -334,9 +334,9 @@
 	return r.Catalog > o.Catalog || r.Catalog == o.Catalog && r.Revision > o.Revision
 }
 
-// Confirmed returns when a node at the given revision last confirmed that this revision is the
+// ConfirmedAt returns when a node at the given revision last confirmed that this revision is the
 // store's newest. It is zero if none has.
-func (v *View) Confirmed(revision int64) time.Time {
+func (v *View) ConfirmedAt(revision int64) time.Time {
 	var newest time.Time
 	for _, p := range v.peers {
 		if p.report.Revision != revision {
@@ -349,9 +349,9 @@
 	return newest
 }
 
-// ConfirmedBeyond returns when a live node at a later revision than the given one last
+// LaterConfirmedAt returns when a live node at a later revision than the given one last
 // confirmed that its revision is the store's newest. It is zero if none has.
-func (v *View) ConfirmedBeyond(revision int64, now time.Time) time.Time {
+func (v *View) LaterConfirmedAt(revision int64, now time.Time) time.Time {
 	var newest time.Time
 	v.live(now, func(_ string, p *peer) {
 		if p.report.Revision <= revision {
@@ -373,11 +373,11 @@
 	return p.heard.Add(-time.Duration(p.report.ConfirmedAge) * time.Millisecond), true
 }
 
-// Rank returns the number of live nodes that precede this one in an order on which all nodes
+// WatcherRank returns the number of live nodes that precede this one in an order on which all nodes
 // agree: nodes that reach the store and are not leaving come first, and within both classes
 // nodes are ordered by hash. heard is the number of other live nodes.
-func (v *View) Rank(storeLost, leaving bool, now time.Time) (rank, heard int) {
-	own := watchOrder{storeLost || leaving, watchHash(v.self)}
+func (v *View) WatcherRank(storeUnreachable, leaving bool, now time.Time) (rank, heard int) {
+	own := watchOrder{storeUnreachable || leaving, watchHash(v.self)}
 	v.live(now, func(_ string, p *peer) {
 		heard++
 		if (watchOrder{p.watchesLast(), p.watchOrder}).precedes(own) {
--- a/heartbeat/view_test.go
+++ b/heartbeat/view_test.go
@@ -26,7 +26,7 @@
 	is.Equal(v.Target(7), Sum{Running: 4, Counts: health.Counts{Answered: 2, Failed: 1}, Unreachable: 1})
 	is.True(v.Receive(report("a", 2), start))
 	is.Equal(v.Target(7).Running, 1)
-	is.Equal(v.Lives(start), 3)
+	is.Equal(v.LiveNodes(start), 3)
 }
 
 func TestOldAndOwnReportsAreIgnored(t *testing.T) {
@@ -50,7 +50,7 @@
 	is.Equal(v.Target(7).Running, 3)
 	v.Expire(start.Add(5 * cfg.Interval))
 	is.Equal(v.Target(7), Sum{})
-	is.Equal(v.Lives(start.Add(9*cfg.Interval)), 1)
+	is.Equal(v.LiveNodes(start.Add(9*cfg.Interval)), 1)
 	is.Equal(v.Addresses(), []string{"a"})
 	v.Expire(start.Add(cfg.AddressTTL + 1))
 	is.Equal(v.Addresses(), []string{})
@@ -62,7 +62,7 @@
 	r.Nodes = []string{"b", "self"}
 	v.Receive(r, start)
 	is.Equal(len(v.Addresses()), 2)
-	is.Equal(v.Lives(start), 2)
+	is.Equal(v.LiveNodes(start), 2)
 }
 
 func TestAheadNamesTheNewest(t *testing.T) {
@@ -152,7 +152,7 @@
 				r.StoreUnreachable = n == lost
 				v.Receive(r, start)
 			}
-			rank, heard := v.Rank(self == lost, false, start)
+			rank, heard := v.WatcherRank(self == lost, false, start)
 			is.Equal(heard, 3)
 			out[self] = rank
 		}
@@ -174,8 +174,8 @@
 	r := report("a", 1)
 	r.Revision, r.ConfirmedAge = 5, 300
 	v.Receive(r, start)
-	is.Equal(v.Confirmed(5), start.Add(-300*time.Millisecond))
-	is.True(v.Confirmed(4).IsZero())
+	is.Equal(v.ConfirmedAt(5), start.Add(-300*time.Millisecond))
+	is.True(v.ConfirmedAt(4).IsZero())
 }
 
 // Each node is sent one message per interval at any fleet size, and at most one batch is sent
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -44,12 +44,12 @@
 	return k.machine.Held(k.now())
 }
 
-// Invalidate ends the term because a newer fencing number was seen. The keeper then tries to acquire
-// the duty again with a newer number.
+// Invalidate ends the term because a newer fencing number was seen. The keeper then tries to
+// acquire the duty again with a newer number.
 func (k *Keeper) Invalidate() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.machine.Lose()
+	k.machine.Invalidate()
 }
 
 // FenceCompare returns the compare that makes a store transaction fail unless the term with this
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -224,8 +224,8 @@
 	return ok
 }
 
-// Lose ends the term because a newer fencing number was seen.
-func (m *Machine) Lose() {
+// Invalidate ends the term because a newer fencing number was seen.
+func (m *Machine) Invalidate() {
 	if m.phase == phaseHeld {
 		m.lose(LossFenced)
 	}
--- a/pause/pause.go
+++ b/pause/pause.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// RunPeriodically calls f at the given interval until ctx ends, the first time after one interval. Calls
-// don't overlap: one that takes longer than the interval delays the next.
+// RunPeriodically calls f at the given interval until ctx ends, the first time after one
+// interval. Calls don't overlap: one that takes longer than the interval delays the next.
 func RunPeriodically(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -22,7 +22,7 @@
 type Candidate struct {
 	*roster.Target
 	// Running is the number of requests in progress at the target from all nodes: the
-	// higher of Counted, the sum of the nodes' counts, and the load that the target itself
+	// higher of CountedByNodes, the sum of the nodes' counts, and the load that the target itself
 	// reports, which may be a second old.
 	Running, CountedByNodes int
 	// Suspended targets get requests only when most of their service is suspended.
@@ -40,19 +40,19 @@
 	OutsideRegion bool
 	// Cold targets started recently and can take few requests. A cold target gets the
 	// request only if MaySend, this node's share of its capacity, allows it. If no other
-	// target is left, it also gets the request if ColdRoom, the number of further requests
-	// a second it can take, is over 0.
+	// target is left, it also gets the request if ColdCapacity, the number of further
+	// requests a second it can take, is over 0.
 	Cold, MaySend bool
 	ColdCapacity  int
 	// Own is the part of Running that this node sent.
 	Own int
-	// These apply if only a subset of a large service is passed. Biased candidates were
-	// selected because of the request, so they are left out of estimates for the whole
+	// These apply if only a subset of a large service is passed. SelectedByRequest candidates
+	// were selected because of the request, so they are left out of estimates for the whole
 	// service. Unranked ones are not among the first in the rank order of the request's key,
 	// which is the same on all nodes.
 	SelectedByRequest, Unranked bool
 	// CachedTokens is the number of the request's shared prompt tokens that the target probably
-	// caches. Settled reports that the prefill of these tokens must have finished by now.
+	// caches. Prefilled reports that the prefill of these tokens must have finished by now.
 	CachedTokens int
 	Prefilled    bool
 }
@@ -133,8 +133,8 @@
 	// FetchFrom is a target that probably caches shared parts which Target lacks; nil if
 	// there is none.
 	FetchFrom *roster.Target
-	// Limit is the load bound that applied, Running the load at Target and Kept the number
-	// of shared tokens that Target probably caches.
+	// Limit is the load bound that applied, Running the load at Target and CachedTokens the
+	// number of shared tokens that Target probably caches.
 	Limit, Running, CachedTokens int
 	// Fetched is the number of tokens that Target probably fetches from FetchFrom.
 	Fetched int
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -24,7 +24,7 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// pickCounted picks with Counted set to Running wherever a test has not set it.
+// pickCounted picks with CountedByNodes set to Running wherever a test has not set it.
 func pickCounted(cands []Candidate, req Request, p Policy, rng *rand.Rand) (Choice, bool) {
 	for i := range cands {
 		if cands[i].CountedByNodes <= 0 {
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -16,8 +16,8 @@
 // Execution states whether a target ran a refused request.
 type Execution string
 
-// The values of Ran. RanNo is a guarantee. RanUnknown means that a target may have run the
-// request.
+// The values of Execution. NotRun is a guarantee. MayHaveRun means that a target may have run
+// the request.
 const (
 	NotRun     Execution = "no"
 	MayHaveRun Execution = "unknown"
--- a/replica/evacuation.go
+++ b/replica/evacuation.go
@@ -28,7 +28,7 @@
 	if sameKeys(before, c.evacuations) {
 		return changes{}
 	}
-	return changes{evacuations: true, targets: c.keeper.Evacuate(c.evacuatedDomains(), now)}
+	return changes{evacuations: true, targets: c.registry.Evacuate(c.evacuatedDomains(), now)}
 }
 
 func sameKeys(a, b map[string]Entry) bool {
@@ -49,7 +49,7 @@
 	if known != e.Removed {
 		return changes{}
 	}
-	return changes{evacuations: true, targets: c.keeper.Evacuate(c.evacuatedDomains(), now)}
+	return changes{evacuations: true, targets: c.registry.Evacuate(c.evacuatedDomains(), now)}
 }
 
 // evacuatedDomains returns the names of the evacuated failure domains.
--- a/replica/evacuation_test.go
+++ b/replica/evacuation_test.go
@@ -26,12 +26,12 @@
 	c.replaceAll(fullCopy([]Entry{target("a", "1", 5)}, 5), start)
 	// The targets of these tests have an empty failure domain.
 	is.Equal(c.applyChange(evacuation("", 6), start), changes{evacuations: true, targets: true})
-	is.True(c.keeper.Pool("s")[0].Evacuated)
+	is.True(c.registry.Pool("s")[0].Evacuated)
 	c.applyChange(target("b", "1", 7), start)
-	is.True(c.keeper.Pool("s")[1].Evacuated) // a target that joins during the evacuation
+	is.True(c.registry.Pool("s")[1].Evacuated) // a target that joins during the evacuation
 	is.Equal(c.applyChange(evacuation("", 8), start), changes{})
 	is.Equal(c.applyChange(removed(evacuation("", 9), 9), start), changes{evacuations: true, targets: true})
-	is.True(!c.keeper.Pool("s")[0].Evacuated)
+	is.True(!c.registry.Pool("s")[0].Evacuated)
 	is.Equal(c.applyChange(removed(evacuation("", 10), 10), start), changes{})
 }
 
@@ -55,7 +55,7 @@
 	}
 	is.Equal(domains(c), []string{"x"})
 	is.Equal(reported, 1)
-	is.Equal(c.keeper.Count(), 1)
+	is.Equal(c.registry.Count(), 1)
 }
 
 // A reply of a node whose release doesn't support evacuations must not end any.
@@ -65,7 +65,7 @@
 	c.applyReply(CopyReply{Entries: []Entry{target("a", "1", 6)}, Revision: 6, Whole: true}, start)
 	c.applyReply(CopyReply{Entries: []Entry{target("b", "1", 7)}, Revision: 7}, start)
 	is.Equal(domains(c), []string{"x"})
-	is.Equal(c.keeper.Count(), 2)
+	is.Equal(c.registry.Count(), 2)
 	c.applyReply(CopyReply{Revision: 8, Whole: true, Evacuations: true}, start)
 	is.Equal(domains(c), nil)
 }
--- a/replica/note.go
+++ b/replica/note.go
@@ -40,7 +40,7 @@
 func (r *Replica) WritesNote() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.watching && r.rank == 0 && !r.storeLost
+	return r.watching && r.rank == 0 && !r.storeUnreachable
 }
 
 // SaveNote writes the note to the store. Each write wakes all watchers, so it should be called
--- a/replica/parts_test.go
+++ b/replica/parts_test.go
@@ -80,13 +80,13 @@
 	full, fresh := filledState(t, 2*maxPartEntries), newState(t)
 	fresh.applyReply(full.replyTo(fresh.copyRequest()), start)
 	is.True(fresh.incomplete)
-	is.Equal(fresh.keeper.Count(), maxPartEntries)
+	is.Equal(fresh.registry.Count(), maxPartEntries)
 	got := fresh.replyTo(newState(t).copyRequest()) // a partial copy is not passed on
 	is.Equal(len(got.Entries), 0)
 	is.Equal(got.Revision, int64(0))
 	fresh.applyReply(full.replyTo(fresh.copyRequest()), start)
 	is.True(!fresh.incomplete)
-	is.Equal(fresh.keeper.Count(), 2*maxPartEntries)
+	is.Equal(fresh.registry.Count(), 2*maxPartEntries)
 }
 
 // A reply without newer data doesn't complete the first copy: the sender may have just started,
@@ -158,7 +158,7 @@
 	first := c.replyTo(behind.copyRequest())
 	is.True(first.Whole && first.More)
 	behind.applyReply(first, start)
-	is.Equal(behind.keeper.Count(), 2)
+	is.Equal(behind.registry.Count(), 2)
 	catchUpFrom(t, behind, c)
 	is.Equal(fmt.Sprint(targetsOf(behind)), fmt.Sprint(targetsOf(c)))
 	is.Equal(behind.revision, c.revision)
@@ -216,8 +216,8 @@
 		for behind.revision < revision {
 			behind.applyReply(sources[0].replyTo(behind.copyRequest()), start)
 		}
-		behind.keeper.Expire(start.Add(1 << 40))
-		sources[1].keeper.Expire(start.Add(1 << 40))
+		behind.registry.Expire(start.Add(1 << 40))
+		sources[1].registry.Expire(start.Add(1 << 40))
 		if fmt.Sprint(targetsOf(behind)) != fmt.Sprint(targetsOf(sources[1])) {
 			t.Fatalf("%v, not %v", targetsOf(behind), targetsOf(sources[1]))
 		}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -52,7 +52,7 @@
 	// WatcherRank returns how many live nodes precede this one in the order of watchers; nodes that
 	// can't reach the store come last. discovered is the number of other nodes from which
 	// heartbeats were received.
-	WatcherRank(storeLost bool) (rank, discovered int)
+	WatcherRank(storeUnreachable bool) (rank, discovered int)
 	// Announce sends this node's versions to some other nodes at once.
 	Announce()
 }
@@ -79,10 +79,10 @@
 	// targets is the number of targets without the withdrawn ones.
 	targets atomic.Int64
 
-	mu          sync.Mutex
-	state       *copyState
-	behindSince time.Time
-	storeLost   bool
+	mu               sync.Mutex
+	state            *copyState
+	behindSince      time.Time
+	storeUnreachable bool
 	// copyDue is the earliest time of the next copy; only the goroutine of check uses it.
 	copyDue time.Time
 	// confirmed is when the copy was last confirmed to be as new as the store.
@@ -272,7 +272,7 @@
 // logEvacuation logs a change with the domain's number of targets: a domain without targets may
 // be a misspelt name. Callers must hold r.mu.
 func (r *Replica) logEvacuation(msg, domain, source string) {
-	r.log.Info(msg, "failure_domain", domain, "targets", r.state.keeper.CountInDomain(domain),
+	r.log.Info(msg, "failure_domain", domain, "targets", r.state.registry.CountInDomain(domain),
 		"revision", r.state.revision, "source", source)
 }
 
@@ -289,8 +289,8 @@
 
 // publishTargets publishes the targets. Callers must hold r.mu.
 func (r *Replica) publishTargets(source string) {
-	changed := r.state.keeper.TakeChanges()
-	count := r.state.keeper.Count()
+	changed := r.state.registry.TakeChanges()
+	count := r.state.registry.Count()
 	r.logTargets(changed, source)
 	r.targets.Store(int64(count))
 	r.metrics.changes.WithLabelValues("targets", source).Inc()
@@ -341,22 +341,22 @@
 func (r *Replica) storeAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.storeLost {
+	if r.storeUnreachable {
 		r.log.Info("store regained")
-		r.state.keeper.MarkOutage(r.now())
+		r.state.registry.MarkOutage(r.now())
 	}
-	r.storeLost = false
+	r.storeUnreachable = false
 }
 
 func (r *Replica) storeFailed(err error) {
 	r.metrics.storeErrors.Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.storeLost {
+	if !r.storeUnreachable {
 		r.log.Warn("store lost; the last values stay in force", "revision", r.state.revision, "err", err)
 	}
-	r.storeLost = true
-	r.state.keeper.MarkOutage(r.now())
+	r.storeUnreachable = true
+	r.state.registry.MarkOutage(r.now())
 }
 
 // check copies from nodes that are ahead, expires targets whose grace period has ended, updates
@@ -387,8 +387,8 @@
 	}
 }
 
-// HandlePeerVersions handles the versions that another node reports. If that node is ahead, check looks at
-// once whether to copy from it.
+// HandlePeerVersions handles the versions that another node reports. If that node is ahead, check
+// looks at once whether to copy from it.
 func (r *Replica) HandlePeerVersions(catalogVersion, revision int64) {
 	r.mu.Lock()
 	ownCatalog, ownRevision := r.versions()
@@ -402,7 +402,7 @@
 func (r *Replica) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state.keeper.Expire(r.now()) {
+	if r.state.registry.Expire(r.now()) {
 		r.publishTargets(sourceGrace)
 	}
 }
--- a/replica/runs_test.go
+++ b/replica/runs_test.go
@@ -26,7 +26,7 @@
 	return newCopyState(startsSchema{}, notice, notice)
 }
 
-func address(c *copyState) string { return c.keeper.Pool("s")[0].Addr }
+func address(c *copyState) string { return c.registry.Pool("s")[0].Addr }
 
 // A late write of an earlier run, as a change or in a list, must not replace the later run,
 // neither here nor on the nodes that copy from this one.
@@ -65,6 +65,6 @@
 	c.applyChange(Entry{Key: "t/a", Revision: 6, Removed: true}, start)
 	c.replaceAll(fullCopy([]Entry{target("a", "old@10", 7)}, 7), start)
 	is.Equal(address(c), "new")
-	is.True(c.keeper.Expire(start.Add(roster.FallbackGrace)))
-	is.Equal(c.keeper.Count(), 0)
+	is.True(c.registry.Expire(start.Add(roster.FallbackGrace)))
+	is.Equal(c.registry.Count(), 0)
 }
--- a/replica/state.go
+++ b/replica/state.go
@@ -54,7 +54,7 @@
 	// revision is the store's revision up to which the copy is complete.
 	revision int64
 	targets  map[string]heldEntry
-	keeper   *roster.Registry
+	registry *roster.Registry
 	// evacuations are the entries of evacuated failure domains, by key.
 	evacuations map[string]Entry
 	// history records when targets and evacuations changed.
@@ -77,7 +77,7 @@
 
 func newCopyState(s Schema, onInvalid, onUnusable invalidValueFunc) *copyState {
 	return &copyState{
-		schema: s, targets: make(map[string]heldEntry), keeper: roster.NewKeeper(),
+		schema: s, targets: make(map[string]heldEntry), registry: roster.NewRegistry(),
 		evacuations: make(map[string]Entry), history: newHistory(),
 		onInvalid: onInvalid, onUnusable: onUnusable,
 	}
--- a/replica/state_test.go
+++ b/replica/state_test.go
@@ -81,7 +81,7 @@
 	is, c := is.New(t), newState(t)
 	c.replaceAll(fullCopy([]Entry{target("a", "1", 5), target("b", "1", 6)}, 6), start)
 	is.Equal(c.replaceAll(fullCopy([]Entry{target("a", "1", 5)}, 5), start), changes{})
-	is.Equal(c.keeper.Count(), 2)
+	is.Equal(c.registry.Count(), 2)
 }
 
 // Whatever changes two nodes have seen, one that applies the other's reply has the same targets
@@ -145,7 +145,7 @@
 	for key, e := range c.targets {
 		out[key] = string(e.Value) + string(e.Fault)
 	}
-	for _, t := range c.keeper.Pool("s") {
+	for _, t := range c.registry.Pool("s") {
 		if !t.Fallback {
 			out["usable "+t.ID] = t.Addr
 		}
--- a/replica/targets.go
+++ b/replica/targets.go
@@ -25,7 +25,7 @@
 		return roster.Target{}, &roster.EntryError{Fault: normalizeFault(e.Fault)}
 	}
 	t, err := c.schema.DecodeTarget(e.Key, e.Value)
-	if err == nil && t.Started.IsZero() && c.keeper.IsSuperseded(t) {
+	if err == nil && t.Started.IsZero() && c.registry.IsSuperseded(t) {
 		// A target that reports its start time always does, so another writer wrote this entry.
 		err = &roster.EntryError{Fault: roster.MissingField, Field: "start"}
 	}
@@ -41,7 +41,7 @@
 	return roster.BadFormat
 }
 
-// storeEntry stores a written entry and returns the target to put into the keeper; ok is false
+// storeEntry stores a written entry and returns the target to put into the registry; ok is false
 // if there is none. An entry that doesn't describe a usable target withdraws the target that
 // the key described before.
 func (c *copyState) storeEntry(e Entry, before map[string]heldEntry) (t roster.Target, ok bool) {
@@ -53,8 +53,8 @@
 			c.onUnusable(e.Key, e.Revision, err)
 		}
 		c.targets[e.Key] = heldEntry{e.withFault(faultOf(err)), last.id}
-		return c.keeper.AsWithdrawn(last.id)
-	case !c.keeper.IsSuperseded(t):
+		return c.registry.AsWithdrawn(last.id)
+	case !c.registry.IsSuperseded(t):
 		c.targets[e.Key] = heldEntry{e, t.ID}
 	case known:
 		c.targets[e.Key] = last // send the entry of the later run to other nodes
@@ -79,7 +79,7 @@
 			list = append(list, t)
 		}
 	}
-	return c.keeper.Reset(list, now)
+	return c.registry.Reset(list, now)
 }
 
 // applyTargetChange applies one change of a target's entry.
@@ -93,7 +93,7 @@
 	if c.targets[e.Key].Revision == e.Revision {
 		c.recordChange(e)
 	}
-	return ok && c.keeper.Put(t, now)
+	return ok && c.registry.Put(t, now)
 }
 
 // recordChange records a change in the history, for other nodes.
@@ -109,5 +109,5 @@
 func (c *copyState) removeTarget(key string, now time.Time) bool {
 	last, ok := c.targets[key]
 	delete(c.targets, key)
-	return ok && last.id != "" && c.keeper.Remove(last.id, now)
+	return ok && last.id != "" && c.registry.Remove(last.id, now)
 }
--- a/replica/turns.go
+++ b/replica/turns.go
@@ -68,6 +68,6 @@
 	if !r.mustList && !r.state.incomplete && r.state.revision >= revision {
 		return true, 0
 	}
-	rank, _ := r.peers.WatcherRank(r.storeLost)
+	rank, _ := r.peers.WatcherRank(r.storeUnreachable)
 	return false, turnStart(rank, r.startedAt, r.listStarted).Sub(r.now())
 }
--- a/replica/unusable_test.go
+++ b/replica/unusable_test.go
@@ -63,7 +63,7 @@
 			changed.replaceAll(fullCopy(nil, 0), start)
 			changed.applyReply(replyOverWire(t, first, CopyRequest{Revision: 0}), start)
 			for _, c := range []*copyState{first, whole, changed} {
-				is.Equal(c.keeper.Count(), 99)
+				is.Equal(c.registry.Count(), 99)
 				is.Equal(c.revision, int64(100))
 			}
 			is.Equal(targetsOf(first), targetsOf(whole))
@@ -88,26 +88,26 @@
 		t.Run(name, func(t *testing.T) {
 			is, c := is.New(t), newState(t)
 			c.replaceAll(fullCopy([]Entry{target("a", "1", 5), target("b", "2", 6)}, 6), start)
-			c.keeper.MarkOutage(start)
+			c.registry.MarkOutage(start)
 			deliver(c)
 			c.advance(7)
-			is.Equal(c.keeper.Count(), 1)
-			is.Equal(c.keeper.Pool("s")[0].ID, "t/b")
+			is.Equal(c.registry.Count(), 1)
+			is.Equal(c.registry.Pool("s")[0].ID, "t/b")
 			withdrawn := 0
 			// The target is not gone: its requests in progress still count.
-			for _, d := range c.keeper.TakeChanges() {
+			for _, d := range c.registry.TakeChanges() {
 				if d.Target.Withdrawn {
 					withdrawn++
 				}
 			}
 			is.Equal(withdrawn, 1)
 			is.True(c.applyChange(target("a", "1", 8), start).targets)
-			is.Equal(c.keeper.Count(), 2)
+			is.Equal(c.registry.Count(), 2)
 			c.applyChange(bad, start)
 			c.applyChange(Entry{Key: "t/a", Revision: 9}, start)
 			c.applyChange(Entry{Key: "t/a", Revision: 10, Removed: true}, start)
-			is.Equal(c.keeper.Count(), 1)
-			is.True(!c.keeper.Expire(start.Add(time.Hour)))
+			is.Equal(c.registry.Count(), 1)
+			is.True(!c.registry.Expire(start.Add(time.Hour)))
 		})
 	}
 }
@@ -119,7 +119,7 @@
 	c := newCopyState(startsSchema{}, nil, func(string, int64, error) { notices++ })
 	c.replaceAll(fullCopy([]Entry{target("a", "new@11", 5)}, 5), start)
 	c.applyChange(target("a", "new@-62135596800", 6), start) // the zero time
-	is.Equal(c.keeper.Count(), 0)
+	is.Equal(c.registry.Count(), 0)
 	is.Equal(notices, 1)
 }
 
--- a/replica/watchers.go
+++ b/replica/watchers.go
@@ -25,7 +25,7 @@
 func (r *Replica) updateWatcherRole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rank, discovered := r.peers.WatcherRank(r.storeLost)
+	rank, discovered := r.peers.WatcherRank(r.storeUnreachable)
 	r.rank = rank
 	watch := shouldWatch(rank, r.watching, r.now().Sub(r.startedAt))
 	if watch == r.watching {
@@ -79,5 +79,5 @@
 func (r *Replica) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.storeLost
+	return r.storeUnreachable
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -76,6 +76,6 @@
 	}
 }
 
-// DrawsOnBudget reports whether a retry after p draws on the budget. An attempt that never reached a
-// target put no load on it, so only the maximum number of attempts limits such retries.
+// DrawsOnBudget reports whether a retry after p draws on the budget. An attempt that never
+// reached a target put no load on it, so only the maximum number of attempts limits such retries.
 func DrawsOnBudget(p Progress) bool { return p != NotSent }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster keeps the targets described by the entries in the platform's store. Its Keeper
+// Package roster keeps the targets described by the entries in the platform's store. Its Registry
 // does no I/O and reads no clock: callers pass changes and the time, and it decides which
 // targets may get work.
 package roster
@@ -34,7 +34,7 @@
 	// Evacuated means that the operator has evacuated the target's failure domain. It gets no
 	// new requests, even if no other target is left; requests in progress may finish.
 	Evacuated bool
-	// ColdFor is how much longer the target is cold, according to its entry. The Keeper
+	// ColdFor is how much longer the target is cold, according to its entry. The Registry
 	// converts it to ColdUntil, which is zero for a target that isn't cold. An entry may be
 	// read long after it was written, so a target may count as cold for too long rather than
 	// too briefly.
@@ -83,15 +83,15 @@
 	// outageUntil is the end of the period in which a vanished entry may have expired because
 	// of an outage.
 	outageUntil time.Time
-	// baseline holds the targets that changed since the last call of Changes as they were then;
+	// baseline holds the targets that changed since the last call of TakeChanges as they were then;
 	// nil for those that did not exist.
 	baseline map[string]*Target
 	// withdrawn is the number of withdrawn targets.
 	withdrawn int
 }
 
-// NewKeeper returns an empty Keeper.
-func NewKeeper() *Registry {
+// NewRegistry returns an empty Registry.
+func NewRegistry() *Registry {
 	return &Registry{
 		targets: make(map[string]*Target), missing: make(map[string]time.Time), baseline: make(map[string]*Target),
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -22,7 +22,7 @@
 
 // A removed target is a fallback for a moment and then gone, even if an outage follows.
 func TestRemovedEntryIsFallbackAndThenGone(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a"), engine("b")}, start)
 	is.True(k.Remove("a", start))
 	is.True(k.Pool("s")[0].Fallback)
@@ -35,7 +35,7 @@
 // Entries that expire during an outage of the store don't count as removed; targets whose
 // entries are still missing after the grace period are gone.
 func TestLapsedEntryIsKeptDuringGrace(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a"), engine("b")}, start)
 	k.MarkOutage(start)
 	k.Reset([]Target{engine("b")}, start.Add(time.Second))
@@ -49,7 +49,7 @@
 }
 
 func TestReturningEntryEndsTheGrace(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a")}, start)
 	k.MarkOutage(start)
 	k.Remove("a", start)
@@ -59,7 +59,7 @@
 }
 
 func TestLongOutageExtendsGrace(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a")}, start)
 	k.MarkOutage(start)
 	k.Remove("a", start)
@@ -70,7 +70,7 @@
 
 // A draining target was leaving before the outage.
 func TestDrainingTargetHasNoGrace(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	leaving := engine("a")
 	leaving.Draining = true
 	k.Reset([]Target{leaving}, start)
@@ -81,7 +81,7 @@
 }
 
 func TestJoinedMarksOnlyLaterTargets(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a"), engine("b")}, start)
 	k.Put(engine("c"), start.Add(time.Second))
 	pool := k.Pool("s")
@@ -91,7 +91,7 @@
 }
 
 func TestSameEntryChangesNothing(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	is.True(k.Put(engine("a"), start))
 	is.True(!k.Put(engine("a"), start))
 	drained := engine("a")
@@ -101,7 +101,7 @@
 }
 
 func TestChangesReportEachKind(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a"), engine("b"), engine("c"), engine("d")}, start)
 	k.TakeChanges()
 	drained := engine("a")
@@ -134,7 +134,7 @@
 // A later run under the same ID inherits nothing from the earlier one, neither its draining
 // state nor the grace period of its entry.
 func TestLaterRunInheritsNothing(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	leaving := run("a", 10)
 	leaving.Draining = true
 	k.Reset([]Target{leaving, run("b", 10)}, start)
@@ -154,7 +154,7 @@
 // Data about a run earlier than the known one is outdated and changes nothing: neither a late
 // write, nor a list, nor an entry without a start time.
 func TestEarlierRunChangesNothing(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{run("a", 10)}, start)
 	earlier := run("a", 9)
 	earlier.Draining, earlier.Addr = true, "10.0.0.9:80"
@@ -170,7 +170,7 @@
 
 // A target whose start time becomes known is a new run, which inherits nothing.
 func TestKnownStartIsANewRun(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{engine("a")}, start)
 	is.True(k.Put(run("a", 10), start))
 	is.Equal(k.Pool("s")[0].Started, time.Unix(10, 0))
@@ -187,7 +187,7 @@
 
 // A target whose entry is unusable is in no pool, has no grace period and comes back unchanged.
 func TestWithdrawnTarget(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
 	k.TakeChanges()
 	withdrawn, ok := k.AsWithdrawn("a")
@@ -206,10 +206,10 @@
 	is.True(!ok)
 }
 
-// Changes that cancel each other out between two calls of Changes are not returned; if one run
+// Changes that cancel each other out between two calls of TakeChanges are not returned; if one run
 // ends and another begins under the same ID, the later one is returned.
 func TestChangesThatCancelOut(t *testing.T) {
-	is, k := is.New(t), NewKeeper()
+	is, k := is.New(t), NewRegistry()
 	k.Reset([]Target{run("a", 10), run("b", 10)}, start)
 	k.TakeChanges()
 	drained := run("a", 10)
@@ -231,7 +231,7 @@
 // The cost of a change doesn't depend on the number of targets.
 func TestChangeCostIsIndependentOfTargetCount(t *testing.T) {
 	cost := func(targets int) float64 {
-		k := NewKeeper()
+		k := NewRegistry()
 		list := make([]Target, targets)
 		for i := range list {
 			list[i] = engine(strconv.Itoa(i))
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -81,8 +81,8 @@
 type Dialect interface {
 	// DecodeCallerHeader decodes the header of a caller's request.
 	DecodeCallerHeader(r *http.Request) (CallerHeader, error)
-	// EncodeTargetHeader sets the header of a request to a target from that of the caller's request,
-	// without the headers that only the node may set.
+	// EncodeTargetHeader sets the header of a request to a target from that of the caller's
+	// request, without the headers that only the node may set.
 	EncodeTargetHeader(dst, src http.Header, s TargetHeader)
 	// DecodeReplyHeader decodes the header of a target's answer.
 	DecodeReplyHeader(status int, h http.Header) ReplyHeader
--- a/router/ends_test.go
+++ b/router/ends_test.go
@@ -76,8 +76,8 @@
 			is.Equal(strikes(p, s), 0)
 			p.clock = p.clock.Add(tt.after)
 			target.Started = p.clock
-			p.keeper.Reset([]roster.Target{target}, p.clock)
-			p.update(p.keeper.TakeChanges())
+			p.registry.Reset([]roster.Target{target}, p.clock)
+			p.update(p.registry.TakeChanges())
 			is.Equal(strikes(p, s), tt.want)
 		})
 	}
@@ -121,8 +121,8 @@
 		later = append(later, closedAt(p, 2, at, at+10*time.Millisecond))
 	}
 	target.Started = p.clock
-	p.keeper.Reset([]roster.Target{target}, p.clock)
-	p.update(p.keeper.TakeChanges())
+	p.registry.Reset([]roster.Target{target}, p.clock)
+	p.update(p.registry.TakeChanges())
 	is.Equal(strikes(p, ended), 1)
 	is.Equal(strikes(p, later[0]), 0)
 }
--- a/router/notices_sim_test.go
+++ b/router/notices_sim_test.go
@@ -61,9 +61,9 @@
 
 func newSimFleet(nodes int, targets []roster.Target, interval time.Duration, seed uint64) *simFleet {
 	f := &simFleet{interval: interval, now: start, rng: rand.New(rand.NewPCG(seed, seed))}
-	keeper := roster.NewKeeper()
-	keeper.Reset(targets, f.now)
-	changed := keeper.TakeChanges()
+	registry := roster.NewRegistry()
+	registry.Reset(targets, f.now)
+	changed := registry.TakeChanges()
 	for range nodes {
 		n := &simNode{fleet: f}
 		now := func() time.Time { return f.now }
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -46,10 +46,10 @@
 func TestNoticeOutlivesTheEntryOfItsRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
-	p.keeper.Remove("a", p.clock)
+	p.registry.Remove("a", p.clock)
 	p.clock = p.clock.Add(time.Minute)
-	p.keeper.Expire(p.clock)
-	p.update(p.keeper.TakeChanges())
+	p.registry.Expire(p.clock)
+	p.update(p.registry.TakeChanges())
 	p.recordNotice(l, leaves) // the header of a late answer
 	p.put(run("a", 10))
 	_, _, ok := p.acquire(criteria{service: service})
@@ -63,10 +63,10 @@
 func TestNoticeAppliesToARunAddedAgain(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t, "b")
-	p.keeper.Remove("a", p.clock)
+	p.registry.Remove("a", p.clock)
 	p.clock = p.clock.Add(time.Minute)
-	p.keeper.Expire(p.clock)
-	p.update(p.keeper.TakeChanges())
+	p.registry.Expire(p.clock)
+	p.update(p.registry.TakeChanges())
 	p.put(run("a", 10))
 	p.recordNotice(l, leaves)
 	_, _, ok := p.acquire(criteria{service: service, tried: []string{"b"}})
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -48,9 +48,9 @@
 // testPool is a pool with the given targets on virtual time.
 type testPool struct {
 	*pool
-	fleet  *fakeFleet
-	keeper *roster.Registry
-	clock  time.Time
+	fleet    *fakeFleet
+	registry *roster.Registry
+	clock    time.Time
 }
 
 func newTestPool(targets ...roster.Target) *testPool {
@@ -59,16 +59,16 @@
 	guard := quarantine.NewGuard(quarantine.DefaultConfig(), now, log.New(io.Discard), prometheus.NewRegistry())
 	p.pool = newPool(p.fleet, guard, "z", log.New(io.Discard))
 	p.now = now
-	p.keeper = roster.NewKeeper()
-	p.keeper.Reset(targets, p.clock)
-	p.update(p.keeper.TakeChanges())
+	p.registry = roster.NewRegistry()
+	p.registry.Reset(targets, p.clock)
+	p.update(p.registry.TakeChanges())
 	return p
 }
 
 // put adds or changes a target.
 func (p *testPool) put(t roster.Target) {
-	p.keeper.Put(t, p.clock)
-	p.update(p.keeper.TakeChanges())
+	p.registry.Put(t, p.clock)
+	p.update(p.registry.TakeChanges())
 }
 
 // run returns a target that started at the given second, 0 for an unknown start time.
@@ -241,7 +241,7 @@
 	l := p.take(t)
 	p.settle()
 	id := l.target.ID
-	withdrawn, _ := p.keeper.AsWithdrawn(id)
+	withdrawn, _ := p.registry.AsWithdrawn(id)
 	p.put(withdrawn)
 	for range 20 {
 		other := p.take(t)
--- a/router/router.go
+++ b/router/router.go
@@ -52,8 +52,8 @@
 	Versions() (catalogVersion, revision int64)
 	ConfirmedAge(now time.Time) (age time.Duration, ok bool)
 	StoreUnreachable() bool
-	// WritesNote reports whether this node writes the fleet's note. SaveNote writes it; a node reads
-	// it when it starts and passes it to the functions registered with OnNote.
+	// WritesNote reports whether this node writes the fleet's note. SaveNote writes it; a node
+	// reads it when it starts and passes it to the functions registered with OnNote.
 	WritesNote() bool
 	SaveNote(ctx context.Context, note []byte) error
 	OnNote(f func(note []byte))
--- a/router/warmup.go
+++ b/router/warmup.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if m.warmUp == nil {
-		m.warmUp = warmup.NewSender(warmup.Phase(routing.Rank(p.self, m.target.RunHash())), now)
+		m.warmUp = warmup.NewRateShare(warmup.Phase(routing.Rank(p.self, m.target.RunHash())), now)
 	}
 	m.markReportable()
 	others := 0
--- a/router/warmup_test.go
+++ b/router/warmup_test.go
@@ -88,8 +88,8 @@
 	p := newTestPool(a, b)
 	p.warmUpOf = func(string) warmup.Limit { return coldLimit }
 	evacuate := func(domains map[string]bool) {
-		p.keeper.Evacuate(domains, p.clock)
-		p.update(p.keeper.TakeChanges())
+		p.registry.Evacuate(domains, p.clock)
+		p.update(p.registry.TakeChanges())
 	}
 	evacuate(map[string]bool{"y": true})
 	is.Equal(p.sentTo("b", 20), 0)
--- a/telemetry/meters.go
+++ b/telemetry/meters.go
@@ -5,15 +5,15 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// MetricFactory creates and registers the metrics of one subsystem. Like promauto it panics if a name is
-// already registered, which is a programming error.
+// MetricFactory creates and registers the metrics of one subsystem. Like promauto it panics if a
+// name is already registered, which is a programming error.
 type MetricFactory struct {
 	factory   promauto.Factory
 	subsystem string
 }
 
-// NewMetricFactory returns the Meters of a subsystem. The names of its metrics consist of Namespace,
-// subsystem and their own name; an empty subsystem is left out.
+// NewMetricFactory returns the MetricFactory of a subsystem. The names of its metrics consist
+// of Namespace, subsystem and their own name; an empty subsystem is left out.
 func NewMetricFactory(reg prometheus.Registerer, subsystem string) MetricFactory {
 	return MetricFactory{promauto.With(reg), subsystem}
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -39,8 +39,8 @@
 // Client sends requests to targets. The transport of net/http retries some requests on its own
 // when a kept connection turns out to be closed: those without a body that are idempotent by
 // method or have an Idempotency-Key. A request that must not be repeated therefore needs a body
-// of unknown content (see NoReplay) or a Fresh client, on whose new connections the transport
-// never retries.
+// of unknown content (see NonReplayableBody) or a client with NewConnPerRequest, on whose new
+// connections the transport never retries.
 type Client struct{ http *http.Client }
 
 // New returns a client.
--- a/warmup/sim_test.go
+++ b/warmup/sim_test.go
@@ -44,7 +44,7 @@
 // strategy is the way in which nodes send to cold targets.
 type strategy struct {
 	name string
-	// shares: each node has the share of a Sender, which starts at a phase of its own, or full
+	// shares: each node has the share of a RateShare, which starts at a phase of its own, or full
 	// if startFull is set.
 	shares, startFull bool
 	// sendersPerTarget is the number of nodes that may send to a cold target at all, 0 for all.
@@ -153,7 +153,7 @@
 			if s.startFull {
 				phase = 1
 			}
-			n.senders = append(n.senders, NewSender(phase, at(0)))
+			n.senders = append(n.senders, NewRateShare(phase, at(0)))
 		}
 		s.nodes = append(s.nodes, n)
 		if i == 0 || s.rng.Float64() >= s.killed {
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -2,7 +2,7 @@
 // cold target can handle only a few requests per second from all nodes together and may end if
 // it gets more. A node counts its own requests at once, but those of the many other nodes only
 // when their reports arrive. The package has no clock and does no I/O: the caller passes the
-// time. A Sender is not safe for concurrent use.
+// time. A RateShare is not safe for concurrent use.
 //
 // It handles targets and whole failure domains that come back at once, which look idle to every
 // node, and keys that get a large part of the traffic.
@@ -40,9 +40,9 @@
 	sent   [buckets]int
 }
 
-// NewSender returns the share of a node. phase, from 0 to 1, is the initial fill of the token
+// NewRateShare returns the share of a node. phase, from 0 to 1, is the initial fill of the token
 // bucket when the target is first seen. It differs between nodes and targets.
-func NewSender(phase float64, now time.Time) *RateShare {
+func NewRateShare(phase float64, now time.Time) *RateShare {
 	return &RateShare{tokens: min(phase, 1), refilledAt: now}
 }
 
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -119,7 +119,7 @@
 func TestUnusedShareIsKept(t *testing.T) {
 	is := is.New(t)
 	l := Limit{PerSecond: 10, Duration: time.Second}
-	s := NewSender(0.5, start)
+	s := NewRateShare(0.5, start)
 	is.True(!s.Allow(l, 5, 0, start))
 	is.True(s.Allow(l, 5, 0, start.Add(250*time.Millisecond))) // half of a share at 2 per second
 	later := start.Add(time.Minute)
@@ -132,7 +132,7 @@
 func TestRoomSubtractsTheLastSecond(t *testing.T) {
 	is := is.New(t)
 	l := Limit{PerSecond: 10}
-	s := NewSender(1, start)
+	s := NewRateShare(1, start)
 	s.RecordSent(start)
 	is.Equal(s.Remaining(l, 4, start), 5)
 	is.Equal(s.Remaining(l, 12, start), 0)
@@ -145,7 +145,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{PerSecond: float64(rapid.IntRange(1, 50).Draw(t, "per second"))}
 		nodes := rapid.IntRange(1, 400).Draw(t, "nodes")
-		s := NewSender(rapid.Float64Range(0, 1).Draw(t, "phase"), start)
+		s := NewRateShare(rapid.Float64Range(0, 1).Draw(t, "phase"), start)
 		sent, now := 0, start
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
