--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,5 @@
 // Package gateway is the node's HTTP interface for callers: it validates a caller's request,
-// obtains a slot on a target from admission, forwards the request and relays the response.
+// obtains a place on a target from admission, forwards the request and relays the response.
 package gateway
 
 import (
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -66,7 +66,7 @@
 	held     int
 	requests []admission.Request
 	loads    map[string]int
-	results  []admission.Result // of the released slots, in order of release
+	results  []admission.Result // of the released places, in order of release
 }
 
 func (f *fakeAdmitter) ID() kernel.ID { return admission.ServiceID }
@@ -235,7 +235,7 @@
 	return n.send(t, "POST", chatPath, keyA, body, header...)
 }
 
-// released reports whether every granted slot was released.
+// released reports whether every granted place was released.
 func (n *node) released() bool {
 	n.admitter.mu.Lock()
 	defer n.admitter.mu.Unlock()
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -58,7 +58,7 @@
 func (n *notices) coolingDown(pool []targets.Target, now time.Time) (ids []string, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.book.Resting(now) {
+	if !n.book.InCooldown(now) {
 		return nil, 0
 	}
 	others := false
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -71,7 +71,7 @@
 }
 
 // Guards against sending a request to a target that announced, while the request waited for its
-// slot or connection, that it is leaving or asked for a cooldown.
+// place or connection, that it is leaving or asked for a cooldown.
 func TestRequestIsNotSentAfterANotice(t *testing.T) {
 	for name, announced := range map[string]notice.Notice{
 		"leaving": {Leaving: true}, "cooldown": {RetryAfter: time.Minute},
--- a/notice/book.go
+++ b/notice/book.go
@@ -6,7 +6,7 @@
 )
 
 // Run identifies one run of a target. A notice doesn't apply to a later run under the same ID,
-// except for what Succeed transfers.
+// except for what Inherit transfers.
 type Run struct {
 	Target string
 	// Incarnation distinguishes the runs of a target, 0 if it is not available.
@@ -23,8 +23,8 @@
 	maxRuns int
 	states  map[Run]*State
 	order   []Run // in the order of their first notice
-	// restsUntil is the latest end of a Retry-After period that any run has requested.
-	restsUntil time.Time
+	// cooldownsUntil is the latest end of a cooldown that any run has requested.
+	cooldownsUntil time.Time
 }
 
 // NewBook returns an empty book for the given number of runs.
@@ -39,20 +39,20 @@
 func (b *Book) Record(r Run, n Notice, now time.Time, rng *rand.Rand) (*State, Change) {
 	s := b.getOrCreate(r)
 	change := s.Record(n, now, rng)
-	if s.restUntil.After(b.restsUntil) {
-		b.restsUntil = s.restUntil
+	if s.cooldownUntil.After(b.cooldownsUntil) {
+		b.cooldownsUntil = s.cooldownUntil
 	}
 	return s, change
 }
 
-// Inherit transfers a Retry-After period from an earlier run to a later one under the same ID.
+// Inherit transfers a cooldown from an earlier run to a later one under the same ID.
 // It must be called when the later run becomes known.
 func (b *Book) Inherit(earlier, later Run, now time.Time) {
 	previous := b.states[earlier]
 	if !previous.InCooldown(now) || b.states[later] != nil {
 		return
 	}
-	b.getOrCreate(later).inheritRest(previous, now)
+	b.getOrCreate(later).inheritCooldown(previous, now)
 }
 
 // getOrCreate returns the state of a run, a new one if there is none.
@@ -67,8 +67,8 @@
 	return s
 }
 
-// Resting reports whether any run is in a Retry-After period at now.
-func (b *Book) Resting(now time.Time) bool { return now.Before(b.restsUntil) }
+// InCooldown reports whether any run is in a cooldown at now.
+func (b *Book) InCooldown(now time.Time) bool { return now.Before(b.cooldownsUntil) }
 
 // evict removes the run with the oldest first notice if the book is full.
 func (b *Book) evict() {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,6 +1,6 @@
 // Package notice records what targets announce in their responses: that they are shutting down,
 // and that they want no requests from this node for a while (Retry-After). The latter is called
-// a rest. The package is pure: the caller passes the time and the random source.
+// a cooldown. The package is pure: the caller passes the time and the random source.
 package notice
 
 import (
@@ -19,7 +19,7 @@
 }
 
 const (
-	// jitterShare is the maximum share of a rest by which it is prolonged at random, up to
+	// jitterShare is the maximum share of a cooldown by which it is prolonged at random, up to
 	// maxJitter, so that nodes which were rejected together don't return together.
 	jitterShare = 0.1
 	maxJitter   = 500 * time.Millisecond
@@ -27,45 +27,45 @@
 
 // State holds the notices of one run of a target so far. The zero State holds none.
 type State struct {
-	leaving       bool
-	restUntil     time.Time
-	restRequested time.Time // when that rest was requested
-	unreadable    bool
+	leaving           bool
+	cooldownUntil     time.Time
+	cooldownRequested time.Time // when that cooldown was requested
+	unreadable        bool
 }
 
 // maxStartLag is how long a node may send to a run before it has learned of its start: several
 // heartbeats of a target, and the time in which it returns after an outage of the store.
 const maxStartLag = 5 * time.Second
 
-// inheritRest takes over a rest recorded for the earlier run that the later run under the same
-// ID may have requested, before this node learned of its start. The rest is limited to
+// inheritCooldown takes over a cooldown recorded for the earlier run that the later run under the
+// same ID may have requested, before this node learned of its start. The cooldown is limited to
 // maxStartLag; the target requests a longer one again.
-func (s *State) inheritRest(earlier *State, now time.Time) {
-	if now.Sub(earlier.restRequested) >= maxStartLag {
+func (s *State) inheritCooldown(earlier *State, now time.Time) {
+	if now.Sub(earlier.cooldownRequested) >= maxStartLag {
 		return
 	}
-	s.restUntil, s.restRequested = earlier.restUntil, earlier.restRequested
-	if latest := now.Add(maxStartLag); s.restUntil.After(latest) {
-		s.restUntil = latest
+	s.cooldownUntil, s.cooldownRequested = earlier.cooldownUntil, earlier.cooldownRequested
+	if latest := now.Add(maxStartLag); s.cooldownUntil.After(latest) {
+		s.cooldownUntil = latest
 	}
 }
 
 // Change is what a notice adds to the state of its run.
 type Change struct {
-	// NewlyLeaving: the target was not known to be shutting down. RestExtended: its rest ends
-	// later than before. FirstUnreadable: it had not sent an unreadable Retry-After before.
+	// NewlyLeaving: the target was not known to be shutting down. CooldownExtended: its cooldown
+	// ends later than before. FirstUnreadable: it had not sent an unreadable Retry-After before.
 	NewlyLeaving, CooldownExtended, FirstUnreadable bool
 }
 
-// Record records a notice. A shutdown is never revoked, and a shorter rest doesn't end a longer
-// one, since responses may arrive out of order.
+// Record records a notice. A shutdown is never revoked, and a shorter cooldown doesn't end a
+// longer one, since responses may arrive out of order.
 func (s *State) Record(n Notice, now time.Time, rng *rand.Rand) Change {
 	var c Change
 	if n.Leaving && !s.leaving {
 		s.leaving, c.NewlyLeaving = true, true
 	}
-	if until := now.Add(n.RetryAfter + jitter(n.RetryAfter, rng)); n.RetryAfter > 0 && until.After(s.restUntil) {
-		s.restUntil, s.restRequested, c.CooldownExtended = until, now, true
+	if until := now.Add(n.RetryAfter + jitter(n.RetryAfter, rng)); n.RetryAfter > 0 && until.After(s.cooldownUntil) {
+		s.cooldownUntil, s.cooldownRequested, c.CooldownExtended = until, now, true
 	}
 	if n.Unreadable != "" && !s.unreadable {
 		s.unreadable, c.FirstUnreadable = true, true
@@ -73,8 +73,8 @@
 	return c
 }
 
-func jitter(rest time.Duration, rng *rand.Rand) time.Duration {
-	limit := min(time.Duration(jitterShare*float64(rest)), maxJitter)
+func jitter(cooldown time.Duration, rng *rand.Rand) time.Duration {
+	limit := min(time.Duration(jitterShare*float64(cooldown)), maxJitter)
 	return time.Duration(rng.Float64() * float64(limit))
 }
 
@@ -82,14 +82,14 @@
 func (s *State) Leaving() bool { return s != nil && s.leaving }
 
 // InCooldown reports whether the run wants no requests at now.
-func (s *State) InCooldown(now time.Time) bool { return s != nil && now.Before(s.restUntil) }
+func (s *State) InCooldown(now time.Time) bool { return s != nil && now.Before(s.cooldownUntil) }
 
-// CooldownLeft returns the remaining time of the run's rest, 0 if there is none.
+// CooldownLeft returns the remaining time of the run's cooldown, 0 if there is none.
 func (s *State) CooldownLeft(now time.Time) time.Duration {
 	if !s.InCooldown(now) {
 		return 0
 	}
-	return s.restUntil.Sub(now)
+	return s.cooldownUntil.Sub(now)
 }
 
 // MaySend reports whether a request may be sent to the run at now.
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -15,7 +15,7 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestRetryAfterOf503SetsRest(t *testing.T) {
+func TestRetryAfterOf503SetsCooldown(t *testing.T) {
 	is := is.New(t)
 	date := func(d time.Duration) string { return start.Add(d).UTC().Format(http.TimeFormat) }
 	tests := map[string]struct {
@@ -29,9 +29,9 @@
 		"a date":              {value: date(5 * time.Second), want: Notice{RetryAfter: 5 * time.Second}},
 		"a date that is past": {value: date(-5 * time.Second)},
 		"the target's clock":  {value: date(time.Hour + 4*time.Second), date: date(time.Hour), want: Notice{RetryAfter: 4 * time.Second}},
-		"too long":            {value: "1000000000", want: Notice{RetryAfter: maxRest}},
-		"out of range":        {value: strings.Repeat("9", 400), want: Notice{RetryAfter: maxRest}},
-		"a far date":          {value: date(1000 * time.Hour), want: Notice{RetryAfter: maxRest}},
+		"too long":            {value: "1000000000", want: Notice{RetryAfter: maxCooldown}},
+		"out of range":        {value: strings.Repeat("9", 400), want: Notice{RetryAfter: maxCooldown}},
+		"a far date":          {value: date(1000 * time.Hour), want: Notice{RetryAfter: maxCooldown}},
 		"negative":            {value: "-1", want: Notice{Unreadable: "-1"}},
 		"not a number":        {value: "NaN", want: Notice{Unreadable: "NaN"}},
 		"hexadecimal":         {value: "0x10", want: Notice{Unreadable: "0x10"}},
@@ -71,24 +71,24 @@
 	is.True(s.MaySend(start))
 }
 
-// For any order of notices, the rest ends no earlier than the latest end requested, and at most
+// For any order of notices, the cooldown ends no earlier than the latest end requested, and at most
 // maxJitter later.
-func TestRestIsTheLongestAskedFor(t *testing.T) {
+func TestCooldownIsTheLongestRequested(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		var end time.Time
 		now := start
 		for range rapid.IntRange(1, 8).Draw(t, "notices") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later ms")) * time.Millisecond)
-			rest := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest ms")) * time.Millisecond
-			s.Record(Notice{RetryAfter: rest}, now, random())
-			if at := now.Add(rest); rest > 0 && at.After(end) {
+			cooldown := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest ms")) * time.Millisecond
+			s.Record(Notice{RetryAfter: cooldown}, now, random())
+			if at := now.Add(cooldown); cooldown > 0 && at.After(end) {
 				end = at
 			}
 		}
 		until := now.Add(s.CooldownLeft(now))
 		if until.Before(end) || s.InCooldown(now) && until.After(end.Add(maxJitter)) {
-			t.Fatalf("rests until %v, asked until %v", until, end)
+			t.Fatalf("cooldown until %v, requested until %v", until, end)
 		}
 	})
 }
@@ -106,6 +106,6 @@
 	is.True(!b.State(old).Leaving()) // evicted
 	is.True(b.State(other).Leaving())
 	is.True(b.State(later).CooldownLeft(start) >= time.Second)
-	is.True(b.Resting(start))
-	is.True(!b.Resting(start.Add(time.Minute)))
+	is.True(b.InCooldown(start))
+	is.True(!b.InCooldown(start.Add(time.Minute)))
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -256,7 +256,7 @@
 }
 
 // filter returns the candidates that may get requests. Targets that are draining, shutting
-// down or in a Retry-After period, were already tried, or are in an evacuated failure domain
+// down or in a cooldown, were already tried, or are in an evacuated failure domain
 // or a disallowed region are always removed. Each other filter is skipped if it would leave no
 // candidate: first the one for suspended targets, then the one for unreachable targets, then
 // the one for fallback targets. Suspensions are inferred from failures, so they are also
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -97,7 +97,7 @@
 }
 
 // noTargetReason returns why there is no target for a request. If targets are excluded for
-// different reasons, a temporary one (resting, cold) takes precedence over evacuation, and
+// different reasons, a temporary one (in a cooldown, cold) takes precedence over evacuation, and
 // evacuation over the region: the reported reason is the last that would have to end for the
 // request to have a target.
 func (p *pool) noTargetReason(crit criteria) error {
@@ -108,7 +108,7 @@
 		switch {
 		case c.Draining || c.Leaving || c.Excluded:
 		case c.CoolingDown && !c.OutsideRegion && !c.Evacuated:
-			return errResting
+			return errCoolingDown
 		case c.Cold && !c.OutsideRegion && !c.Evacuated:
 			return errCold
 		case c.Evacuated && !c.OutsideRegion:
--- a/router/notices.go
+++ b/router/notices.go
@@ -42,9 +42,9 @@
 	return p.notices.State(runOf(t)).MaySend(p.now())
 }
 
-// shortestRest returns the time until the first of the eligible targets that asked for a pause
-// accepts requests again; 0 if one of them did not ask for a pause or there is none.
-func (p *pool) shortestRest(crit criteria) time.Duration {
+// shortestCooldown returns the time until the first of the eligible targets in a cooldown
+// accepts requests again; 0 if one of them is in no cooldown or there is none.
+func (p *pool) shortestCooldown(crit criteria) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -56,8 +56,8 @@
 		if !c.CoolingDown {
 			return 0
 		}
-		if rest := p.members[c.ID].notices.CooldownLeft(now); shortest == 0 || rest < shortest {
-			shortest = rest
+		if left := p.members[c.ID].notices.CooldownLeft(now); shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
 	return shortest
--- a/router/notices_sim_test.go
+++ b/router/notices_sim_test.go
@@ -115,7 +115,7 @@
 	simDuration = 12 * time.Second
 	simWarmUp   = time.Second
 	simRequest  = 300 * time.Millisecond
-	simRest     = 3 * time.Second
+	simCooldown = 3 * time.Second
 	simAttempts = 4
 )
 
@@ -141,8 +141,8 @@
 	// reached is the number of requests that arrived at affected targets, atEnd that of the
 	// last second.
 	reached, atEnd int
-	// late is the number of rests during which, after the first half second, a target got more
-	// than two requests from the node that it had asked for the rest.
+	// late is the number of cooldowns during which, after the first half second, a target got more
+	// than two requests from the node that it had asked for the cooldown.
 	late int
 }
 
@@ -152,7 +152,7 @@
 	handle func(f *simFleet, n *simNode, l assignment, accepted bool, announced notice.Notice)) simResult {
 	f := newSimFleet(s.nodes, s.list(), s.interval, seed)
 	var out simResult
-	rests := make(map[string][]time.Time) // arrivals during a rest, after its first half second
+	arrivals := make(map[string][]time.Time) // arrivals during a cooldown, after its first half second
 	until := make(map[string]time.Time)
 	nextReport := f.now
 	due := 0.0
@@ -182,14 +182,14 @@
 						out.atEnd++
 					}
 				}
-				if f.now.Before(until[key]) && f.now.After(until[key].Add(-simRest+500*time.Millisecond)) {
-					if rests[key] = append(rests[key], f.now); len(rests[key]) == 3 {
+				if f.now.Before(until[key]) && f.now.After(until[key].Add(-simCooldown+500*time.Millisecond)) {
+					if arrivals[key] = append(arrivals[key], f.now); len(arrivals[key]) == 3 {
 						out.late++
 					}
 				}
 				accepted, announced := respond(f, l.target)
 				if announced.RetryAfter > 0 && !f.now.Before(until[key]) {
-					until[key], rests[key] = f.now.Add(announced.RetryAfter), nil
+					until[key], arrivals[key] = f.now.Add(announced.RetryAfter), nil
 				}
 				handle(f, n, l, accepted, announced)
 				if accepted {
@@ -229,10 +229,10 @@
 	})
 }
 
-// Targets that shed requests and ask for a rest get no more requests than allowed, whether or
+// Targets that shed requests and ask for a cooldown get no more requests than allowed, whether or
 // not refusals count as failures in the health state. The test logs what the refusals cost in
 // both cases.
-func TestFleetHonorsRests(t *testing.T) {
+func TestFleetHonorsCooldowns(t *testing.T) {
 	for name, s := range simScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -246,7 +246,7 @@
 					})
 					t.Logf("health counts refusals: %v, seed %d: %+v", counts, seed, r)
 					if r.late > 0 {
-						t.Errorf("seed %d: %d rests were not kept", seed, r.late)
+						t.Errorf("seed %d: %d cooldowns were not observed", seed, r.late)
 					}
 				}
 			}
@@ -259,7 +259,7 @@
 	if since < simWarmUp || !slices.Contains(s.affectedIDs(), t.ID) || f.rng.Float64() >= s.shed {
 		return true, notice.Notice{}
 	}
-	return false, notice.Notice{RetryAfter: simRest}
+	return false, notice.Notice{RetryAfter: simCooldown}
 }
 
 // A node sends no requests to targets that announced to it that they leave, and each node
--- a/router/notices_test.go
+++ b/router/notices_test.go
@@ -106,14 +106,14 @@
 	}
 }
 
-var rests = notice.Notice{RetryAfter: 3 * time.Second}
+var cooldown = notice.Notice{RetryAfter: 3 * time.Second}
 
-// Guards against two ways of sending to a target that asked for a rest: a request that was
+// Guards against two ways of sending to a target that asked for a cooldown: a request that was
 // already waiting for a connection, and a retry at a target that was abandoned as overdue.
-func TestRestingTargetGetsNoRequests(t *testing.T) {
+func TestTargetInCooldownGetsNoRequests(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	l := p.take(t)
-	p.recordNotice(l, rests)
+	p.recordNotice(l, cooldown)
 	is.True(!p.maySend(l.target))
 	_, _, ok := p.acquire(criteria{service: service, only: "a"})
 	is.True(!ok)
@@ -122,15 +122,15 @@
 	p.take(t)
 }
 
-// Guards against the refusals of a resting target keeping it suspended for longer than the
-// rest.
-func TestRestIsNotExtendedBySuspension(t *testing.T) {
+// Guards against the refusals of a target in a cooldown keeping it suspended for longer
+// than the cooldown.
+func TestCooldownIsNotExtendedBySuspension(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	l := p.take(t, "b")
 	for range 20 {
 		p.observe(l.member, health.Refused)
 	}
-	p.recordNotice(l, rests)
+	p.recordNotice(l, cooldown)
 	for end := p.clock.Add(4 * time.Second); p.clock.Before(end); p.clock = p.clock.Add(100 * time.Millisecond) {
 		p.candidateOf("a") // updates the suspensions
 	}
@@ -139,18 +139,19 @@
 	p.take(t, "b")
 }
 
-// While all targets rest, the Retry-After of refusals is the time until the first rest ends.
-func TestShortestRestOfAllTargets(t *testing.T) {
+// While all targets are in a cooldown, the Retry-After of refusals is the time until the first
+// cooldown ends.
+func TestShortestCooldownOfAllTargets(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10), run("b", 10))
 	w := criteria{service: service}
-	p.recordNotice(p.take(t, "b"), rests)
-	is.Equal(p.shortestRest(w), time.Duration(0)) // b accepts requests
+	p.recordNotice(p.take(t, "b"), cooldown)
+	is.Equal(p.shortestCooldown(w), time.Duration(0)) // b accepts requests
 	p.recordNotice(p.take(t, "a"), notice.Notice{RetryAfter: time.Minute})
-	is.True(p.shortestRest(w) >= 3*time.Second)
-	is.True(p.shortestRest(w) < 4*time.Second)
-	is.True(errors.Is(p.noTargetReason(w), errResting))
+	is.True(p.shortestCooldown(w) >= 3*time.Second)
+	is.True(p.shortestCooldown(w) < 4*time.Second)
+	is.True(errors.Is(p.noTargetReason(w), errCoolingDown))
 	p.put(leavingRun("a"))
-	is.True(p.shortestRest(w) >= time.Minute)
+	is.True(p.shortestCooldown(w) >= time.Minute)
 }
 
 func leavingRun(id string) roster.Target {
@@ -159,12 +160,12 @@
 	return t
 }
 
-// Guards against losing a rest: a target restarts under the same ID and asks for a rest before
-// the node has received the entry of the new run; when the entry arrives, the rest must still
-// apply.
-func TestRestOfARunAppliesAfterItsEntryArrives(t *testing.T) {
+// Guards against losing a cooldown: a target restarts under the same ID and asks for a cooldown
+// before the node has received the entry of the new run; when the entry arrives, the cooldown must
+// still apply.
+func TestCooldownOfARunAppliesAfterItsEntryArrives(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
-	p.recordNotice(p.take(t), rests)
+	p.recordNotice(p.take(t), cooldown)
 	p.clock = p.clock.Add(500 * time.Millisecond)
 	p.put(run("a", 11))
 	w := criteria{service: service}
@@ -176,8 +177,8 @@
 	is.True(ok)
 }
 
-// A rest that was asked for long before a restart belongs to the earlier run.
-func TestRestOfAnEarlierRunEndsWithTheRun(t *testing.T) {
+// A cooldown that was requested long before a restart belongs to the earlier run.
+func TestCooldownOfAnEarlierRunEndsWithTheRun(t *testing.T) {
 	is, p := is.New(t), newTestPool(run("a", 10))
 	p.recordNotice(p.take(t), notice.Notice{RetryAfter: time.Hour})
 	p.clock = p.clock.Add(time.Minute)
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -12,16 +12,16 @@
 	"github.com/knapweedgw/knapweedgw/retry"
 )
 
-// restJitter spreads the retries of callers that were refused while all targets rested, that is,
-// had asked this node for no requests for some time. Otherwise the first target that accepts
-// requests again would get all of the retries at once.
-const restJitter = 250 * time.Millisecond
+// cooldownJitter spreads the retries of callers that were refused while all targets were in a
+// cooldown, that is, had asked this node for no requests for some time. Otherwise the first
+// target that accepts requests again would get all of the retries at once.
+const cooldownJitter = 250 * time.Millisecond
 
 var (
 	errNoTarget    = errors.New("no target of the service is left")
 	errEvacuated   = errors.New("the targets of the service that are left are in evacuated failure domains")
 	errOutside     = errors.New("the targets of the service that are left are in regions where this request may not go")
-	errResting     = errors.New("the targets of the service that are left have asked this node for no requests for a while")
+	errCoolingDown = errors.New("the targets of the service that are left have asked this node for no requests for a while")
 	errCold        = errors.New("the targets of the service that are left are still warming up and bear no more requests now")
 	errQuarantined = errors.New("targets ended under earlier copies of this request, so it is kept from them")
 	errSuspectBusy = errors.New("a copy of this request is being run, and targets ended under earlier ones")
@@ -97,8 +97,8 @@
 	}
 	left, _ := x.remaining()
 	// A retry by the caller may use the targets that were already tried.
-	if rest := x.router.pool.shortestRest(criteria{service: x.service, regions: x.regions}); rest > 0 {
-		return rest + rand.N(restJitter)
+	if cooldown := x.router.pool.shortestCooldown(criteria{service: x.service, regions: x.regions}); cooldown > 0 {
+		return cooldown + rand.N(cooldownJitter)
 	}
 	return x.router.pool.retryAfter(x.service, left)
 }
