--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -94,10 +94,10 @@
 		name  string
 		warm  bool // the owner has read the log before the fault
 		fault func(*faultyStore)
-		ran   problem.Ran // of the refusal, if there is one
+		ran   problem.Execution // of the refusal, if there is one
 	}{
-		{"unavailable, the owner has read the log", true, func(s *faultyStore) { s.refuse = true }, problem.RanNo},
-		{"unavailable, the owner has not read the log", false, func(s *faultyStore) { s.refuse = true }, problem.RanUnknown},
+		{"unavailable, the owner has read the log", true, func(s *faultyStore) { s.refuse = true }, problem.NotRun},
+		{"unavailable, the owner has not read the log", false, func(s *faultyStore) { s.refuse = true }, problem.MayHaveRun},
 		{"loses a result after the effect", false, func(s *faultyStore) { s.loseResults = 1 }, ""},
 		{"loses many results after the effect", true, func(s *faultyStore) { s.loseResults = 5 }, ""},
 	} {
@@ -216,7 +216,7 @@
 		cancel() // the caller disconnects
 	}()
 	_, err := entry.Claim(ctx, testKey, testFingerprint)
-	checkRefusal(is, err, problem.RanUnknown) // the entry node doesn't have the state of the key
+	checkRefusal(is, err, problem.MayHaveRun) // the entry node doesn't have the state of the key
 	f.link(owner, linkUp)
 	is.Equal(claim(t, f.nodes[owner], testKey, testFingerprint).State, Granted)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -66,7 +66,7 @@
 	held     int
 	requests []admission.Request
 	loads    map[string]int
-	results  []admission.Result // of the released slots, in order of release
+	results  []admission.Result // of the released places, in order of release
 }
 
 func (f *fakeAdmitter) ID() kernel.ID { return admission.ServiceID }
@@ -84,7 +84,7 @@
 			return admission.Grant{Target: t, Release: f.release}, nil
 		}
 	}
-	return admission.Grant{}, problem.New(problem.NoTarget, problem.RanNo, r.Pool.Name).After(time.Second)
+	return admission.Grant{}, problem.New(problem.NoTarget, problem.NotRun, r.Pool.Name).WithRetryAfter(time.Second)
 }
 
 func (f *fakeAdmitter) release(r admission.Result) {
@@ -198,8 +198,8 @@
 }
 
 // isRefusal reports whether the response is a refusal with this reason and ran.
-func (a response) isRefusal(reason problem.Reason, ran problem.Ran) bool {
-	return a.problem.Reason == reason && a.problem.Ran == ran
+func (a response) isRefusal(reason problem.Reason, ran problem.Execution) bool {
+	return a.problem.Reason == reason && a.problem.Execution == ran
 }
 
 // send sends a request with an API key, if not empty, and pairs of header names and values.
@@ -235,7 +235,7 @@
 	return n.send(t, "POST", chatPath, keyA, body, header...)
 }
 
-// released reports whether every granted slot was released.
+// released reports whether every granted place was released.
 func (n *node) released() bool {
 	n.admitter.mu.Lock()
 	defer n.admitter.mu.Unlock()
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -53,7 +53,7 @@
 		n := newNode(t, handlers(one, two))
 		n.chat(t, chatBody)
 		a := n.chat(t, chatBody)
-		is.True(a.isRefusal(problem.NoTarget, problem.RanNo))
+		is.True(a.isRefusal(problem.NoTarget, problem.NotRun))
 		is.True(a.header.Get("Retry-After") == "30" || a.header.Get("Retry-After") == "31")
 		is.Equal(one.count()+two.count(), 2)
 	})
@@ -71,10 +71,10 @@
 }
 
 // Guards against sending a request to a target that announced, while the request waited for its
-// slot or connection, that it is leaving or asked for a cooldown.
+// place or connection, that it is leaving or asked for a cooldown.
 func TestRequestIsNotSentAfterANotice(t *testing.T) {
 	for name, announced := range map[string]notice.Notice{
-		"leaving": {Leaving: true}, "cooldown": {Rest: time.Minute},
+		"leaving": {Leaving: true}, "cooldown": {RetryAfter: time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/heartbeat/fleet_test.go
+++ b/heartbeat/fleet_test.go
@@ -124,7 +124,7 @@
 func (f *fleet) own(n *fleetNode) Report {
 	r := Report{Revision: n.revision, ConfirmedAge: -1}
 	known := n.confirmed
-	if other := n.view.Confirmed(n.revision); other.After(known) {
+	if other := n.view.ConfirmedAt(n.revision); other.After(known) {
 		known = other
 	}
 	if !known.IsZero() {
@@ -187,10 +187,10 @@
 	if err != nil {
 		panic(err)
 	}
-	if a.News {
+	if a.IsNew {
 		f.onReceive(n, a.Report)
 	}
-	if a.News && a.NewPeer {
+	if a.IsNew && a.NewPeer {
 		out, err := n.Brief(f.own(n), []string{a.Report.Node}, f.now)
 		if err != nil {
 			panic(err)
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -172,7 +172,7 @@
 	case 10:
 		s.now = s.now.Add(time.Duration(rapid.IntRange(0, 2_000).Draw(t, "wait")) * time.Millisecond)
 	case 11:
-		c.m.Lose()
+		c.m.Invalidate()
 	case 12, 13:
 		s.advanceToExpiry(c)
 	case 14, 15:
@@ -196,7 +196,7 @@
 	if !ok {
 		return
 	}
-	left := term.Until.Sub(s.clock(c)) - 10*time.Millisecond
+	left := term.ValidUntil.Sub(s.clock(c)) - 10*time.Millisecond
 	s.now = s.now.Add(max(0, time.Duration(float64(left)/c.rate)))
 }
 
@@ -321,7 +321,7 @@
 		}, false, LossNotFound},
 		{"newer fencing number seen", func(s *simulation, c *candidate) {
 			acquire(s, c)
-			c.m.Lose()
+			c.m.Invalidate()
 		}, false, LossFenced},
 		{"released", func(s *simulation, c *candidate) {
 			acquire(s, c)
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -15,23 +15,23 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestRetryAfterOf503SetsRest(t *testing.T) {
+func TestRetryAfterOf503SetsCooldown(t *testing.T) {
 	is := is.New(t)
 	date := func(d time.Duration) string { return start.Add(d).UTC().Format(http.TimeFormat) }
 	tests := map[string]struct {
 		value, date string
 		want        Notice
 	}{
-		"seconds":             {value: "3", want: Notice{Rest: 3 * time.Second}},
-		"a fraction":          {value: " 0.25 ", want: Notice{Rest: 250 * time.Millisecond}},
+		"seconds":             {value: "3", want: Notice{RetryAfter: 3 * time.Second}},
+		"a fraction":          {value: " 0.25 ", want: Notice{RetryAfter: 250 * time.Millisecond}},
 		"none":                {value: "0"},
 		"no header":           {},
-		"a date":              {value: date(5 * time.Second), want: Notice{Rest: 5 * time.Second}},
+		"a date":              {value: date(5 * time.Second), want: Notice{RetryAfter: 5 * time.Second}},
 		"a date that is past": {value: date(-5 * time.Second)},
-		"the target's clock":  {value: date(time.Hour + 4*time.Second), date: date(time.Hour), want: Notice{Rest: 4 * time.Second}},
-		"too long":            {value: "1000000000", want: Notice{Rest: maxRest}},
-		"out of range":        {value: strings.Repeat("9", 400), want: Notice{Rest: maxRest}},
-		"a far date":          {value: date(1000 * time.Hour), want: Notice{Rest: maxRest}},
+		"the target's clock":  {value: date(time.Hour + 4*time.Second), date: date(time.Hour), want: Notice{RetryAfter: 4 * time.Second}},
+		"too long":            {value: "1000000000", want: Notice{RetryAfter: maxCooldown}},
+		"out of range":        {value: strings.Repeat("9", 400), want: Notice{RetryAfter: maxCooldown}},
+		"a far date":          {value: date(1000 * time.Hour), want: Notice{RetryAfter: maxCooldown}},
 		"negative":            {value: "-1", want: Notice{Unreadable: "-1"}},
 		"not a number":        {value: "NaN", want: Notice{Unreadable: "NaN"}},
 		"hexadecimal":         {value: "0x10", want: Notice{Unreadable: "0x10"}},
@@ -55,40 +55,40 @@
 	is := is.New(t)
 	var s State
 	is.True(!s.Leaving())
-	is.Equal(s.Hear(Notice{Leaving: true, Rest: 3 * time.Second}, start, random()), Change{NewlyLeaving: true, RestExtended: true})
-	is.Equal(s.Hear(Notice{Leaving: true, Rest: time.Second}, start, random()), Change{})
-	is.True(s.Rests(start.Add(3*time.Second - 1)))
-	is.True(!s.Rests(start.Add(3*time.Second + maxJitter)))
-	s.Hear(Notice{}, start.Add(time.Hour), random())
+	is.Equal(s.Record(Notice{Leaving: true, RetryAfter: 3 * time.Second}, start, random()), Change{NewlyLeaving: true, CooldownExtended: true})
+	is.Equal(s.Record(Notice{Leaving: true, RetryAfter: time.Second}, start, random()), Change{})
+	is.True(s.InCooldown(start.Add(3*time.Second - 1)))
+	is.True(!s.InCooldown(start.Add(3*time.Second + maxJitter)))
+	s.Record(Notice{}, start.Add(time.Hour), random())
 	is.True(s.Leaving())
 }
 
 func TestUnreadableIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var s State
-	is.True(s.Hear(Notice{Unreadable: "soon"}, start, random()).FirstUnreadable)
-	is.True(!s.Hear(Notice{Unreadable: "later"}, start, random()).FirstUnreadable)
+	is.True(s.Record(Notice{Unreadable: "soon"}, start, random()).FirstUnreadable)
+	is.True(!s.Record(Notice{Unreadable: "later"}, start, random()).FirstUnreadable)
 	is.True(s.MaySend(start))
 }
 
-// For any order of notices, the rest ends no earlier than the latest end requested, and at most
+// For any order of notices, the cooldown ends no earlier than the latest end requested, and at most
 // maxJitter later.
-func TestRestIsTheLongestAskedFor(t *testing.T) {
+func TestCooldownIsTheLongestRequested(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		var end time.Time
 		now := start
 		for range rapid.IntRange(1, 8).Draw(t, "notices") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "later ms")) * time.Millisecond)
-			rest := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest ms")) * time.Millisecond
-			s.Hear(Notice{Rest: rest}, now, random())
-			if at := now.Add(rest); rest > 0 && at.After(end) {
+			cooldown := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest ms")) * time.Millisecond
+			s.Record(Notice{RetryAfter: cooldown}, now, random())
+			if at := now.Add(cooldown); cooldown > 0 && at.After(end) {
 				end = at
 			}
 		}
-		until := now.Add(s.RestFor(now))
-		if until.Before(end) || s.Rests(now) && until.After(end.Add(maxJitter)) {
-			t.Fatalf("rests until %v, asked until %v", until, end)
+		until := now.Add(s.CooldownLeft(now))
+		if until.Before(end) || s.InCooldown(now) && until.After(end.Add(maxJitter)) {
+			t.Fatalf("cooldown until %v, requested until %v", until, end)
 		}
 	})
 }
@@ -97,15 +97,15 @@
 	is := is.New(t)
 	b := NewBook(2)
 	old, later, other := Run{"a", 1}, Run{"a", 2}, Run{"b", 0}
-	b.Hear(old, Notice{Leaving: true}, start, random())
+	b.Record(old, Notice{Leaving: true}, start, random())
 	is.True(b.State(old).Leaving())
 	is.True(!b.State(later).Leaving())
-	b.Hear(later, Notice{Rest: time.Second}, start, random())
-	b.Hear(other, Notice{Leaving: true}, start, random())
+	b.Record(later, Notice{RetryAfter: time.Second}, start, random())
+	b.Record(other, Notice{Leaving: true}, start, random())
 	is.Equal(len(b.states), 2)
 	is.True(!b.State(old).Leaving()) // evicted
 	is.True(b.State(other).Leaving())
-	is.True(b.State(later).RestFor(start) >= time.Second)
-	is.True(b.Resting(start))
-	is.True(!b.Resting(start.Add(time.Minute)))
+	is.True(b.State(later).CooldownLeft(start) >= time.Second)
+	is.True(b.InCooldown(start))
+	is.True(!b.InCooldown(start.Add(time.Minute)))
 }
--- a/orders/takeover_test.go
+++ b/orders/takeover_test.go
@@ -37,7 +37,7 @@
 		sim.setVersion(2, orders.FencingIgnored)
 		term, ok := old.keeper.Held()
 		is.True(ok)
-		for end := term.Until.Add(-time.Millisecond); sim.now.Before(end); {
+		for end := term.ValidUntil.Add(-time.Millisecond); sim.now.Before(end); {
 			sim.now = sim.now.Add(min(time.Second, end.Sub(sim.now)))
 			old.issuer.Tick(context.Background(), before, sim.targets) // without renewing the lease
 		}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -43,16 +43,16 @@
 type Peers interface {
 	// Ahead returns a live node whose versions are newer than those given.
 	Ahead(catalog, revision int64) (node string, ok bool)
-	// Confirmed returns when a node at the given revision last confirmed that it is the store's
+	// ConfirmedAt returns when a node at the given revision last confirmed that it is the store's
 	// newest; zero for never.
-	Confirmed(revision int64) time.Time
-	// ConfirmedBeyond returns when a live node at a later revision last confirmed that its
+	ConfirmedAt(revision int64) time.Time
+	// LaterConfirmedAt returns when a live node at a later revision last confirmed that its
 	// revision is the store's newest; zero for never.
-	ConfirmedBeyond(revision int64) time.Time
-	// Rank returns how many live nodes precede this one in the order of watchers; nodes that
+	LaterConfirmedAt(revision int64) time.Time
+	// WatcherRank returns how many live nodes precede this one in the order of watchers; nodes that
 	// can't reach the store come last. discovered is the number of other nodes from which
 	// heartbeats were received.
-	Rank(storeLost bool) (rank, discovered int)
+	WatcherRank(storeUnreachable bool) (rank, discovered int)
 	// Announce sends this node's versions to some other nodes at once.
 	Announce()
 }
@@ -79,10 +79,10 @@
 	// targets is the number of targets without the withdrawn ones.
 	targets atomic.Int64
 
-	mu          sync.Mutex
-	state       *copyState
-	behindSince time.Time
-	storeLost   bool
+	mu               sync.Mutex
+	state            *copyState
+	behindSince      time.Time
+	storeUnreachable bool
 	// copyDue is the earliest time of the next copy; only the goroutine of check uses it.
 	copyDue time.Time
 	// confirmed is when the copy was last confirmed to be as new as the store.
@@ -107,7 +107,7 @@
 	rng              *rand.Rand
 	// cancelWatch ends the current watch.
 	cancelWatch context.CancelFunc
-	onTargets   []func([]roster.Difference)
+	onTargets   []func([]roster.TargetChange)
 	// watching means that this node watches the store; wakeup wakes follow when that changes or
 	// a list is due.
 	watching      bool
@@ -147,7 +147,7 @@
 
 // OnTargets registers f to be called with each change of the targets. It must be called before
 // Start; f must not call the replica.
-func (r *Replica) OnTargets(f func([]roster.Difference)) { r.onTargets = append(r.onTargets, f) }
+func (r *Replica) OnTargets(f func([]roster.TargetChange)) { r.onTargets = append(r.onTargets, f) }
 
 // Versions returns the version of the configuration and the revision of the targets, 0 for
 // none. The revision is 0 until the first copy is complete, since a partial copy must not be
@@ -246,9 +246,9 @@
 	}
 }
 
-// Begun returns a channel that is closed when the first configuration and the data that came
+// Initialized returns a channel that is closed when the first configuration and the data that came
 // with it are in force.
-func (r *Replica) Begun() <-chan struct{} { return r.initialized }
+func (r *Replica) Initialized() <-chan struct{} { return r.initialized }
 
 // publishEvacuations publishes the evacuated failure domains. Callers must hold r.mu.
 func (r *Replica) publishEvacuations(source string) {
@@ -272,7 +272,7 @@
 // logEvacuation logs a change with the domain's number of targets: a domain without targets may
 // be a misspelt name. Callers must hold r.mu.
 func (r *Replica) logEvacuation(msg, domain, source string) {
-	r.log.Info(msg, "failure_domain", domain, "targets", r.state.keeper.CountInDomain(domain),
+	r.log.Info(msg, "failure_domain", domain, "targets", r.state.registry.CountInDomain(domain),
 		"revision", r.state.revision, "source", source)
 }
 
@@ -289,8 +289,8 @@
 
 // publishTargets publishes the targets. Callers must hold r.mu.
 func (r *Replica) publishTargets(source string) {
-	changed := r.state.keeper.Changes()
-	count := r.state.keeper.Count()
+	changed := r.state.registry.TakeChanges()
+	count := r.state.registry.Count()
 	r.logTargets(changed, source)
 	r.targets.Store(int64(count))
 	r.metrics.changes.WithLabelValues("targets", source).Inc()
@@ -309,7 +309,7 @@
 )
 
 // logTargets logs changes of targets. Callers must hold r.mu.
-func (r *Replica) logTargets(changed []roster.Difference, source string) {
+func (r *Replica) logTargets(changed []roster.TargetChange, source string) {
 	if len(changed) <= maxTargetLines {
 		for _, d := range changed {
 			r.log.Info("target changed", "target", d.Target.ID, "service", d.Target.Service, "addr", d.Target.Addr,
@@ -341,22 +341,22 @@
 func (r *Replica) storeAnswered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.storeLost {
+	if r.storeUnreachable {
 		r.log.Info("store regained")
-		r.state.keeper.MarkOutage(r.now())
+		r.state.registry.MarkOutage(r.now())
 	}
-	r.storeLost = false
+	r.storeUnreachable = false
 }
 
 func (r *Replica) storeFailed(err error) {
 	r.metrics.storeErrors.Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.storeLost {
+	if !r.storeUnreachable {
 		r.log.Warn("store lost; the last values stay in force", "revision", r.state.revision, "err", err)
 	}
-	r.storeLost = true
-	r.state.keeper.MarkOutage(r.now())
+	r.storeUnreachable = true
+	r.state.registry.MarkOutage(r.now())
 }
 
 // check copies from nodes that are ahead, expires targets whose grace period has ended, updates
@@ -387,9 +387,9 @@
 	}
 }
 
-// Heard handles the versions that another node reports. If that node is ahead, check looks at
-// once whether to copy from it.
-func (r *Replica) Heard(catalogVersion, revision int64) {
+// HandlePeerVersions handles the versions that another node reports. If that node is ahead, check
+// looks at once whether to copy from it.
+func (r *Replica) HandlePeerVersions(catalogVersion, revision int64) {
 	r.mu.Lock()
 	ownCatalog, ownRevision := r.versions()
 	r.mu.Unlock()
@@ -402,7 +402,7 @@
 func (r *Replica) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state.keeper.Expire(r.now()) {
+	if r.state.registry.Expire(r.now()) {
 		r.publishTargets(sourceGrace)
 	}
 }
--- a/replica/watchers.go
+++ b/replica/watchers.go
@@ -25,7 +25,7 @@
 func (r *Replica) updateWatcherRole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rank, discovered := r.peers.Rank(r.storeLost)
+	rank, discovered := r.peers.WatcherRank(r.storeUnreachable)
 	r.rank = rank
 	watch := shouldWatch(rank, r.watching, r.now().Sub(r.startedAt))
 	if watch == r.watching {
@@ -75,9 +75,9 @@
 	return r.watching || r.stale
 }
 
-// StoreLost reports whether this node can't reach the store at present.
-func (r *Replica) StoreLost() bool {
+// StoreUnreachable reports whether this node can't reach the store at present.
+func (r *Replica) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.storeLost
+	return r.storeUnreachable
 }
--- a/router/assignment.go
+++ b/router/assignment.go
@@ -63,11 +63,11 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	o := p.evaluate(crit, now)
-	load := o.load(p.fleet.Lives(), p.fleet.CountAge()/2) // the average age is half of the maximum
+	load := o.load(p.fleet.LiveNodes(), p.fleet.CountAge()/2) // the average age is half of the maximum
 	if d = p.gate(crit.service).Admit(crit.request, load, now); !d.Admitted() {
 		return assignment{}, d, false
 	}
-	req := placement.Request{FailureDomain: p.domain, Waiting: d.Waiting, Key: crit.key()}
+	req := placement.Request{FailureDomain: p.domain, QueueFactor: d.QueuePerSlot, Key: crit.key()}
 	for _, part := range crit.parts {
 		req.Shared += part.Tokens
 	}
@@ -82,7 +82,7 @@
 	m.running++
 	m.markReportable()
 	if m.warmUp != nil {
-		m.warmUp.Send(now)
+		m.warmUp.RecordSent(now)
 	}
 	p.recordSentParts(crit.parts, c.Target, now)
 	return assignment{member: m, choice: c, target: c.Target, service: crit.service, since: now, queued: d.Queued()}, d, true
@@ -97,7 +97,7 @@
 }
 
 // noTargetReason returns why there is no target for a request. If targets are excluded for
-// different reasons, a temporary one (resting, cold) takes precedence over evacuation, and
+// different reasons, a temporary one (in a cooldown, cold) takes precedence over evacuation, and
 // evacuation over the region: the reported reason is the last that would have to end for the
 // request to have a target.
 func (p *pool) noTargetReason(crit criteria) error {
@@ -107,13 +107,13 @@
 	for _, c := range p.evaluateAll(crit, p.now()).All() {
 		switch {
 		case c.Draining || c.Leaving || c.Excluded:
-		case c.Resting && !c.Outside && !c.Evacuated:
-			return errResting
-		case c.Cold && !c.Outside && !c.Evacuated:
+		case c.CoolingDown && !c.OutsideRegion && !c.Evacuated:
+			return errCoolingDown
+		case c.Cold && !c.OutsideRegion && !c.Evacuated:
 			return errCold
-		case c.Evacuated && !c.Outside:
+		case c.Evacuated && !c.OutsideRegion:
 			why = errEvacuated
-		case c.Outside && !errors.Is(why, errEvacuated):
+		case c.OutsideRegion && !errors.Is(why, errEvacuated):
 			why = errOutside
 		}
 	}
@@ -144,7 +144,7 @@
 	defer p.mu.Unlock()
 	a.member.running--
 	if answered {
-		p.gate(a.service).Answered(p.now().Sub(a.since), a.queued)
+		p.gate(a.service).RecordEnd(p.now().Sub(a.since), a.queued)
 	}
 	if a.member.gone && a.member.running == 0 {
 		a.member.closeIdle()
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -38,7 +38,7 @@
 	req    *http.Request
 	start  time.Time
 
-	call Call
+	call CallerHeader
 	body []byte
 	// read means that the request was completely read.
 	read      bool
@@ -122,18 +122,18 @@
 // prepare reads the request, matches its route and authorizes it.
 func (x *exchange) prepare() error {
 	var err error
-	if x.call, err = x.router.dialect.DecodeCall(x.req); err != nil {
-		return problem.New(problem.BadRequest, problem.RanNo, err.Error())
+	if x.call, err = x.router.dialect.DecodeCallerHeader(x.req); err != nil {
+		return problem.New(problem.BadRequest, problem.NotRun, err.Error())
 	}
 	if !x.awaitCatalog() {
-		return problem.New(problem.NoSettings, problem.RanNo, "").After(startRetryAfter)
+		return problem.New(problem.NoSettings, problem.NotRun, "").WithRetryAfter(startRetryAfter)
 	}
 	if err := x.readBody(); err != nil {
 		return err
 	}
 	x.read = true
 	if x.router.conns.isClosing() {
-		return problem.New(problem.Stopping, problem.RanNo, "").After(stopRetryAfter)
+		return problem.New(problem.NodeStopping, problem.NotRun, "").WithRetryAfter(stopRetryAfter)
 	}
 	x.catalog = x.router.replica.Catalog()
 	_, x.revision = x.router.replica.Versions()
@@ -153,7 +153,7 @@
 	ctx, cancel := context.WithTimeout(x.req.Context(), configWait)
 	defer cancel()
 	select {
-	case <-x.router.replica.Begun():
+	case <-x.router.replica.Initialized():
 		return true
 	case <-ctx.Done():
 		return false
@@ -166,7 +166,7 @@
 		return nil
 	}
 	if limit > 0 && x.req.ContentLength > limit {
-		return problem.New(problem.BodyTooLarge, problem.RanNo, "")
+		return problem.New(problem.BodyTooLarge, problem.NotRun, "")
 	}
 	body := io.Reader(x.req.Body)
 	if limit > 0 {
@@ -174,10 +174,10 @@
 	}
 	var err error
 	if x.body, err = readAll(body, x.req.ContentLength); err != nil {
-		return problem.New(problem.CallerGone, problem.RanNo, err.Error())
+		return problem.New(problem.CallerGone, problem.NotRun, err.Error())
 	}
 	if limit > 0 && int64(len(x.body)) > limit {
-		return problem.New(problem.BodyTooLarge, problem.RanNo, "")
+		return problem.New(problem.BodyTooLarge, problem.NotRun, "")
 	}
 	return nil
 }
@@ -195,10 +195,10 @@
 func (x *exchange) matchRoute() error {
 	route, ok := x.catalog.Match(x.req.Host, x.req.URL.EscapedPath())
 	if !ok {
-		return problem.New(problem.NotFound, problem.RanNo, "no route")
+		return problem.New(problem.NotFound, problem.NotRun, "no route")
 	}
 	x.route = route
-	x.service = route.Choose(routing.Hash(x.call.ID))
+	x.service = route.PickService(routing.Hash(x.call.ID))
 	wait := x.call.Deadline
 	if route.Timeout > 0 && (wait == 0 || route.Timeout < wait) {
 		wait = route.Timeout
@@ -214,16 +214,16 @@
 	w, ok := x.catalog.Workspace(x.call.Key)
 	if ok {
 		x.workspace = w.Name
-		x.regions = x.regions.And(w.Regions)
+		x.regions = x.regions.Intersect(w.Regions)
 		if w.HasPriority {
 			x.priority = w.Priority
 		}
 		return nil
 	}
-	if x.route.Anonymous || !x.catalog.HasWorkspaces() {
+	if x.route.Anonymous || !x.catalog.RequiresKey() {
 		return nil
 	}
-	return problem.New(problem.Unauthenticated, problem.RanNo, "")
+	return problem.New(problem.Unauthenticated, problem.NotRun, "")
 }
 
 // remaining returns how long the answer is still waited for; 0 without expired means no limit.
@@ -253,10 +253,10 @@
 	}
 	var p *problem.Problem
 	if !errors.As(err, &p) {
-		p = problem.New(problem.Internal, problem.RanUnknown, err.Error())
+		p = problem.New(problem.Internal, problem.MayHaveRun, err.Error())
 	}
 	if x.callerGone() {
-		p = problem.New(problem.CallerGone, p.Ran, p.Detail)
+		p = problem.New(problem.CallerGone, p.Execution, p.Detail)
 	}
 	x.logRefused(p)
 	if x.answerBegun {
@@ -297,7 +297,7 @@
 
 func (x *exchange) logRefused(p *problem.Problem) {
 	x.router.log.Warn("refused", append(x.logFields(),
-		"reason", p.Reason, "ran", p.Ran, "detail", p.Detail, "begun", x.answerBegun,
+		"reason", p.Reason, "ran", p.Execution, "detail", p.Detail, "begun", x.answerBegun,
 		"delivered", x.summary.delivered, "first_byte_ms", x.summary.firstByte.Milliseconds(),
 		"retry_after_ms", p.RetryAfter.Milliseconds())...)
 }
@@ -317,8 +317,8 @@
 	if x.route != nil {
 		fields = append(fields, "route", x.route.Name)
 	}
-	if n := len(x.call.Parts); n > 0 {
-		fields = append(fields, "key", uint32(x.call.Parts[n-1].Hash), "shared", x.sharedTokens())
+	if n := len(x.call.PromptParts); n > 0 {
+		fields = append(fields, "key", uint32(x.call.PromptParts[n-1].Hash), "shared", x.sharedTokens())
 	}
 	if x.hasFingerprint {
 		fields = append(fields, "fingerprint", x.cachedFingerprint)
@@ -331,7 +331,7 @@
 
 func (x *exchange) sharedTokens() int {
 	sum := 0
-	for _, p := range x.call.Parts {
+	for _, p := range x.call.PromptParts {
 		sum += p.Tokens
 	}
 	return sum
--- a/router/forward.go
+++ b/router/forward.go
@@ -84,7 +84,7 @@
 			return nil
 		}
 		verdict := x.decide(ctx, fail)
-		if verdict != retry.Again {
+		if verdict != retry.Allow {
 			return x.conclude(ctx, fail, verdict)
 		}
 		x.logRetry(a, fail)
@@ -117,7 +117,7 @@
 		service: x.service, parts: x.parts(), tried: x.tried, regions: x.regions,
 		request: overload.Request{
 			Class: x.route.Name, Workspace: x.workspace, Priority: x.priority,
-			TargetLatency: x.route.TargetLatency, Remaining: x.call.Deadline, Begun: x.answerBegun || x.executions > 0,
+			TargetLatency: x.route.TargetLatency, Remaining: x.call.Deadline, Started: x.answerBegun || x.executions > 0,
 		},
 	}
 }
@@ -127,7 +127,7 @@
 	if !x.route.PromptRouting {
 		return nil
 	}
-	return x.call.Parts
+	return x.call.PromptParts
 }
 
 func (x *exchange) logRetry(a assignment, f *failure) {
@@ -152,8 +152,8 @@
 		retry.Attempt{Number: x.executions, Progress: fail.progress, Repeatable: x.route.Repeatable(), Remaining: left},
 		retry.Limits{MaxAttempts: max(x.route.MaxAttempts, 1), MinRemaining: minRemaining},
 	)
-	if verdict == retry.Again && retry.Charged(fail.progress) && !x.retryReserved.Swap(false) &&
-		!x.router.window(x.service).Take(x.router.now(), x.router.fleet.Lives()) {
+	if verdict == retry.Allow && retry.DrawsOnBudget(fail.progress) && !x.retryReserved.Swap(false) &&
+		!x.router.window(x.service).Take(x.router.now(), x.router.fleet.LiveNodes()) {
 		return retry.BudgetEmpty
 	}
 	return verdict
@@ -168,7 +168,7 @@
 	x.completed = false
 	x.sentAt = x.router.now()
 	x.summary.target, x.summary.running, x.summary.limit = a.target.ID, a.choice.Running, a.choice.Limit
-	x.summary.kept, x.summary.reason = a.choice.Kept, a.choice.Reason
+	x.summary.kept, x.summary.reason = a.choice.CachedTokens, a.choice.Reason
 	x.router.metrics.countPartTokens(a.choice, x.sharedTokens())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,9 +182,9 @@
 	if progress >= retry.Sent {
 		x.executions++
 	}
-	var reply Reply
+	var reply ReplyHeader
 	if err == nil {
-		reply = x.router.dialect.DecodeReply(resp.StatusCode, resp.Header)
+		reply = x.router.dialect.DecodeReplyHeader(resp.StatusCode, resp.Header)
 		x.recordNotice(a, reply, resp.StatusCode)
 	}
 	if err == nil && w.ended() {
@@ -205,7 +205,7 @@
 	f := &failure{progress: p, reason: problem.TargetFailed, cause: err}
 	switch {
 	case errors.Is(err, upstream.ErrGateClosed):
-		f.cause, f.stale = notice.ErrUnwanted, true
+		f.cause, f.stale = notice.ErrTargetDeclined, true
 	case overdue:
 		// The wait is recorded doubled: otherwise the estimate would only contain answers that
 		// arrived in time. It is no evidence against the target, which may be reading a long
@@ -247,21 +247,21 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header:        make(http.Header, len(x.req.Header)+4),
 		ContentLength: int64(len(x.body)),
-		Body:          upstream.NoReplay(bytes.NewReader(x.body)),
+		Body:          upstream.NonReplayableBody(bytes.NewReader(x.body)),
 	}
 	left, _ := x.remaining()
-	s := Send{
+	s := TargetHeader{
 		Target: a.target.ID, Remaining: left, Workspace: x.workspace, Priority: x.priority,
-		LastEvent: x.call.LastEvent,
+		LastEventID: x.call.LastEventID,
 	}
 	if from := a.choice.FetchFrom; from != nil {
 		s.FetchFrom = from.Addr
 		x.summary.fetchFrom = from.ID
 	}
 	if x.lastEvent != "" {
-		s.LastEvent = x.lastEvent
+		s.LastEventID = x.lastEvent
 	}
-	x.router.dialect.EncodeSend(req.Header, x.req.Header, s)
+	x.router.dialect.EncodeTargetHeader(req.Header, x.req.Header, s)
 	return req.WithContext(ctx), nil
 }
 
@@ -278,7 +278,7 @@
 }
 
 // takeReply checks the header of an answer and relays the answer.
-func (x *exchange) takeReply(ctx context.Context, a assignment, reply Reply, resp *http.Response) *failure {
+func (x *exchange) takeReply(ctx context.Context, a assignment, reply ReplyHeader, resp *http.Response) *failure {
 	x.observeFirstByte()
 	if x.summary.firstByte == 0 {
 		x.summary.firstByte = x.router.now().Sub(x.start)
@@ -303,7 +303,7 @@
 }
 
 // refusedByTarget handles an answer which states that the target did not run the request.
-func (x *exchange) refusedByTarget(a assignment, reply Reply, resp *http.Response) *failure {
+func (x *exchange) refusedByTarget(a assignment, reply ReplyHeader, resp *http.Response) *failure {
 	x.executions--
 	// Reading the rest of the answer lets the connection be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedAnswer))
@@ -326,7 +326,7 @@
 )
 
 // checkReply returns an error if an answer cannot be the one to the request.
-func checkReply(reply Reply, resp *http.Response, id string) error {
+func checkReply(reply ReplyHeader, resp *http.Response, id string) error {
 	switch {
 	case reply.ID != id:
 		return errOtherAnswer
--- a/router/memory.go
+++ b/router/memory.go
@@ -38,15 +38,15 @@
 
 // saveNotes writes the note at regular intervals, on one node of the fleet.
 func (r *Router) saveNotes(ctx context.Context) {
-	pause.Every(ctx, noteInterval, func(ctx context.Context) { r.saveNote(ctx) })
+	pause.RunPeriodically(ctx, noteInterval, func(ctx context.Context) { r.saveNote(ctx) })
 }
 
 // saveNote writes the note if this node is its writer, and reports whether it is.
 func (r *Router) saveNote(ctx context.Context) bool {
-	if !r.replica.Leads() || r.draining.Load() {
+	if !r.replica.WritesNote() || r.draining.Load() {
 		return false
 	}
-	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Note()})
+	raw, err := cbor.Marshal(fleetNote{Uses: r.pool.recentUses(), Quarantined: r.guard.Snapshot()})
 	if err != nil {
 		r.log.Error("encoding the note failed", "err", err)
 		return true
@@ -99,5 +99,5 @@
 	}
 	r.log.Info("note read", "uses", len(n.Uses), "quarantined", len(n.Quarantined))
 	r.pool.recordUses(n.Uses)
-	r.guard.Hear("note", n.Quarantined)
+	r.guard.MergeRecords("note", n.Quarantined)
 }
--- a/router/notices.go
+++ b/router/notices.go
@@ -25,7 +25,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	run := runOf(a.target)
-	state, change := p.notices.Hear(run, n, p.now(), p.rng)
+	state, change := p.notices.Record(run, n, p.now(), p.rng)
 	a.member.notices = state
 	// The target may have been removed and added again since it was chosen.
 	if m, ok := p.members[run.Target]; ok && runOf(m.target) == run {
@@ -42,22 +42,22 @@
 	return p.notices.State(runOf(t)).MaySend(p.now())
 }
 
-// shortestRest returns the time until the first of the eligible targets that asked for a pause
-// accepts requests again; 0 if one of them did not ask for a pause or there is none.
-func (p *pool) shortestRest(crit criteria) time.Duration {
+// shortestCooldown returns the time until the first of the eligible targets in a cooldown
+// accepts requests again; 0 if one of them is in no cooldown or there is none.
+func (p *pool) shortestCooldown(crit criteria) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	var shortest time.Duration
 	for _, c := range p.evaluateAll(crit, now).All() {
-		if c.Barred() {
+		if c.Ineligible() {
 			continue
 		}
-		if !c.Resting {
+		if !c.CoolingDown {
 			return 0
 		}
-		if rest := p.members[c.ID].notices.RestFor(now); shortest == 0 || rest < shortest {
-			shortest = rest
+		if left := p.members[c.ID].notices.CooldownLeft(now); shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
 	return shortest
@@ -65,7 +65,7 @@
 
 // recordNotice records and logs the notice in an answer, before anything is decided on the
 // answer.
-func (x *exchange) recordNotice(a assignment, reply Reply, status int) {
+func (x *exchange) recordNotice(a assignment, reply ReplyHeader, status int) {
 	if !reply.isFromTarget(status, x.call.ID) {
 		return
 	}
--- a/router/pool.go
+++ b/router/pool.go
@@ -57,9 +57,9 @@
 // Fleet provides what the other nodes report about targets.
 type Fleet interface {
 	Targets(hashes []uint64, f func(i int, s heartbeat.Sum))
-	Lives() int
-	// Known is the number of nodes that exist or existed recently.
-	Known() int
+	LiveNodes() int
+	// KnownNodes is the number of nodes that exist or existed recently.
+	KnownNodes() int
 	// Interval is the time between two reports of a node.
 	Interval() time.Duration
 	// CountAge is the maximum age of the other nodes' counts.
@@ -90,7 +90,7 @@
 	// notices is the state announced by the target itself, nil for none.
 	notices *notice.State
 	// warmUp limits what this node sends to a cold target; nil for warm ones.
-	warmUp *warmup.Sender
+	warmUp *warmup.RateShare
 	// suspects are the requests whose connection the target closed since it last accepted one,
 	// oldest first. probe is closed when the current probe ends, nil if there is none.
 	suspects []quarantine.Suspect
@@ -159,7 +159,7 @@
 	}
 	m.connections.CompareAndSwap(nil, upstream.New(upstream.Config{
 		MaxIdle: idlePerTarget, IdleTimeout: idleTimeout,
-		DialTimeout: dialTimeout, Unacked: unackedTimeout, KeepAlive: keepAlive,
+		DialTimeout: dialTimeout, UnackedTimeout: unackedTimeout, KeepAlive: keepAlive,
 	}))
 	return m.connections.Load()
 }
@@ -172,7 +172,7 @@
 }
 
 // update applies changes of the targets.
-func (p *pool) update(changed []roster.Difference) {
+func (p *pool) update(changed []roster.TargetChange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, d := range changed {
@@ -189,7 +189,7 @@
 	m, ok := p.members[t.ID]
 	if ok && !m.target.Started.Equal(t.Started) {
 		// The state and connections of the earlier run are not valid for the new one.
-		p.notices.Succeed(runOf(m.target), runOf(t), p.now())
+		p.notices.Inherit(runOf(m.target), runOf(t), p.now())
 		p.end(m)
 		ok = false
 	}
@@ -259,7 +259,7 @@
 func (p *pool) recordSentParts(parts []affinity.Part, t *roster.Target, now time.Time) {
 	run := uint32(t.RunHash())
 	for _, part := range parts {
-		if p.parts.Sent(part.Hash, run, now) && len(p.pending) < maxUsesPerReport {
+		if p.parts.RecordSent(part.Hash, run, now) && len(p.pending) < maxUsesPerReport {
 			p.pending = append(p.pending, pendingUse{affinity.Use{Part: uint32(part.Hash), Target: run}, now})
 		}
 	}
@@ -288,7 +288,7 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	for _, u := range uses {
-		p.parts.Heard(u, now)
+		p.parts.RecordRemote(u, now)
 	}
 }
 
@@ -320,7 +320,7 @@
 		m.state.Observe(p.healthConfig, health.Unreachable, p.now())
 		return
 	}
-	m.state.Reached()
+	m.state.RecordReachable()
 	p.log.Info("target reachable again", "target", m.target.ID)
 }
 
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -32,8 +32,8 @@
 		g(i, f.view.Target(h))
 	}
 }
-func (f *fakeFleet) Lives() int            { return 2 }
-func (*fakeFleet) Known() int              { return 2 }
+func (f *fakeFleet) LiveNodes() int        { return 2 }
+func (*fakeFleet) KnownNodes() int         { return 2 }
 func (*fakeFleet) Interval() time.Duration { return 200 * time.Millisecond }
 func (*fakeFleet) CountAge() time.Duration { return 200 * time.Millisecond }
 
@@ -48,9 +48,9 @@
 // testPool is a pool with the given targets on virtual time.
 type testPool struct {
 	*pool
-	fleet  *fakeFleet
-	keeper *roster.Keeper
-	clock  time.Time
+	fleet    *fakeFleet
+	registry *roster.Registry
+	clock    time.Time
 }
 
 func newTestPool(targets ...roster.Target) *testPool {
@@ -59,16 +59,16 @@
 	guard := quarantine.NewGuard(quarantine.DefaultConfig(), now, log.New(io.Discard), prometheus.NewRegistry())
 	p.pool = newPool(p.fleet, guard, "z", log.New(io.Discard))
 	p.now = now
-	p.keeper = roster.NewKeeper()
-	p.keeper.Reset(targets, p.clock)
-	p.update(p.keeper.Changes())
+	p.registry = roster.NewRegistry()
+	p.registry.Reset(targets, p.clock)
+	p.update(p.registry.TakeChanges())
 	return p
 }
 
 // put adds or changes a target.
 func (p *testPool) put(t roster.Target) {
-	p.keeper.Put(t, p.clock)
-	p.update(p.keeper.Changes())
+	p.registry.Put(t, p.clock)
+	p.update(p.registry.TakeChanges())
 }
 
 // run returns a target that started at the given second, 0 for an unknown start time.
@@ -93,7 +93,7 @@
 }
 
 // settle advances the time until the targets have read what they were sent.
-func (p *testPool) settle() { p.clock = p.clock.Add(affinity.DefaultConfig().Settle) }
+func (p *testPool) settle() { p.clock = p.clock.Add(affinity.DefaultConfig().PrefillTime) }
 
 // candidateOf returns the values that placement would use for a target.
 func (p *testPool) candidateOf(id string) (kept, running int, suspended bool) {
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	for _, c := range p.evaluateAll(criteria{service: service, parts: prompt}, p.now()).All() {
 		if c.ID == id {
-			return c.Kept, c.Running, c.Suspended
+			return c.CachedTokens, c.Running, c.Suspended
 		}
 	}
 	return 0, 0, false
@@ -241,7 +241,7 @@
 	l := p.take(t)
 	p.settle()
 	id := l.target.ID
-	withdrawn, _ := p.keeper.Withdrawn(id)
+	withdrawn, _ := p.registry.AsWithdrawn(id)
 	p.put(withdrawn)
 	for range 20 {
 		other := p.take(t)
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -12,16 +12,16 @@
 	"github.com/knapweedgw/knapweedgw/retry"
 )
 
-// restJitter spreads the retries of callers that were refused while all targets rested, that is,
-// had asked this node for no requests for some time. Otherwise the first target that accepts
-// requests again would get all of the retries at once.
-const restJitter = 250 * time.Millisecond
+// cooldownJitter spreads the retries of callers that were refused while all targets were in a
+// cooldown, that is, had asked this node for no requests for some time. Otherwise the first
+// target that accepts requests again would get all of the retries at once.
+const cooldownJitter = 250 * time.Millisecond
 
 var (
 	errNoTarget    = errors.New("no target of the service is left")
 	errEvacuated   = errors.New("the targets of the service that are left are in evacuated failure domains")
 	errOutside     = errors.New("the targets of the service that are left are in regions where this request may not go")
-	errResting     = errors.New("the targets of the service that are left have asked this node for no requests for a while")
+	errCoolingDown = errors.New("the targets of the service that are left have asked this node for no requests for a while")
 	errCold        = errors.New("the targets of the service that are left are still warming up and bear no more requests now")
 	errQuarantined = errors.New("targets ended under earlier copies of this request, so it is kept from them")
 	errSuspectBusy = errors.New("a copy of this request is being run, and targets ended under earlier ones")
@@ -31,7 +31,7 @@
 func (x *exchange) noTargetFailure(d overload.Decision) *failure {
 	f := &failure{reason: problem.NoTarget, retryAfter: d.RetryAfter}
 	switch d.Reason {
-	case overload.Full:
+	case overload.OverCapacity:
 		f.reason = problem.Saturated
 	case overload.Surging:
 		f.reason = problem.WorkspaceLimit
@@ -40,14 +40,14 @@
 		return f
 	}
 	f.cause = errors.Newf("%.2f of the places are taken, limit %.2f: running %.0f, counted %d, own %d, slots %d, may wait %.2f a slot",
-		d.Utilization, d.Limit, d.Estimate, d.Load.Running, d.Load.Own, d.Load.Slots, d.Waiting)
+		d.Utilization, d.Limit, d.Estimate, d.Load.Running, d.Load.Own, d.Load.Slots, d.QueuePerSlot)
 	return f
 }
 
 // conclude ends a request whose last attempt failed.
 func (x *exchange) conclude(ctx context.Context, fail *failure, v retry.Verdict) error {
 	if v == retry.BudgetEmpty && fail.progress <= retry.Refused {
-		fail = &failure{progress: fail.progress, reason: problem.RetryBudget, cause: fail.cause}
+		fail = &failure{progress: fail.progress, reason: problem.RetryBudgetExhausted, cause: fail.cause}
 	}
 	return x.giveUp(ctx, fail)
 }
@@ -66,9 +66,9 @@
 // refusal returns the refusal for a failure. It states that the request was not run only if no
 // target may have run it.
 func (x *exchange) refusal(ctx context.Context, f *failure) error {
-	ran := problem.RanUnknown
+	ran := problem.MayHaveRun
 	if x.executions == 0 {
-		ran = problem.RanNo
+		ran = problem.NotRun
 	}
 	reason, cause := f.reason, f.cause
 	if errors.Is(context.Cause(ctx), errStopping) {
@@ -77,16 +77,16 @@
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		reason = problem.DeadlineExceeded
-	case errors.Is(cause, errStopping) && (ran == problem.RanNo || x.answerBegun):
-		reason = problem.Stopping
-	case reason == problem.TargetFailed && ran == problem.RanNo:
+	case errors.Is(cause, errStopping) && (ran == problem.NotRun || x.answerBegun):
+		reason = problem.NodeStopping
+	case reason == problem.TargetFailed && ran == problem.NotRun:
 		reason = problem.TargetRefused
-	case ran != problem.RanNo && reason != problem.DeadlineExceeded:
+	case ran != problem.NotRun && reason != problem.DeadlineExceeded:
 		reason = problem.TargetFailed
 	}
 	p := problem.New(reason, ran, cause.Error())
-	if ran == problem.RanNo {
-		p.After(x.retryAfter(f))
+	if ran == problem.NotRun {
+		p.WithRetryAfter(x.retryAfter(f))
 	}
 	return p
 }
@@ -97,8 +97,8 @@
 	}
 	left, _ := x.remaining()
 	// A retry by the caller may use the targets that were already tried.
-	if rest := x.router.pool.shortestRest(criteria{service: x.service, regions: x.regions}); rest > 0 {
-		return rest + rand.N(restJitter)
+	if cooldown := x.router.pool.shortestCooldown(criteria{service: x.service, regions: x.regions}); cooldown > 0 {
+		return cooldown + rand.N(cooldownJitter)
 	}
 	return x.router.pool.retryAfter(x.service, left)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -47,18 +47,18 @@
 // Replica is the node's copy of the configuration and the targets.
 type Replica interface {
 	Catalog() *catalog.Catalog
-	// Begun is closed when the node has its first configuration and targets.
-	Begun() <-chan struct{}
+	// Initialized is closed when the node has its first configuration and targets.
+	Initialized() <-chan struct{}
 	Versions() (catalogVersion, revision int64)
 	ConfirmedAge(now time.Time) (age time.Duration, ok bool)
-	StoreLost() bool
-	// Leads reports whether this node writes the fleet's note. SaveNote writes it; a node reads
-	// it when it starts and passes it to the functions registered with OnNote.
-	Leads() bool
+	StoreUnreachable() bool
+	// WritesNote reports whether this node writes the fleet's note. SaveNote writes it; a node
+	// reads it when it starts and passes it to the functions registered with OnNote.
+	WritesNote() bool
 	SaveNote(ctx context.Context, note []byte) error
 	OnNote(f func(note []byte))
 	Ready() bool
-	OnTargets(f func([]roster.Difference))
+	OnTargets(f func([]roster.TargetChange))
 }
 
 // Router serves callers' requests.
@@ -111,10 +111,10 @@
 	b.OnNote(r.readNote)
 	x.SetReporter(r)
 	x.OnReport(r.pool.receiveReport)
-	x.OnReport(func(rep heartbeat.Report) { b.Heard(rep.Catalog, rep.Revision) })
-	x.OnReport(func(rep heartbeat.Report) { guard.Hear(rep.Node, rep.Requests) })
-	guard.OnNews(func() { go x.Announce() })
-	guard.OnPut(r.requestNote)
+	x.OnReport(func(rep heartbeat.Report) { b.HandlePeerVersions(rep.Catalog, rep.Revision) })
+	x.OnReport(func(rep heartbeat.Report) { guard.MergeRecords(rep.Node, rep.Requests) })
+	guard.OnLocalChange(func() { go x.Announce() })
+	guard.OnQuarantined(r.requestNote)
 	return r
 }
 
@@ -129,8 +129,8 @@
 		rep.ConfirmedAge = age.Milliseconds()
 	}
 	rep.Leaving = r.draining.Load()
-	rep.StoreLost = r.replica.StoreLost()
-	rep.Requests = r.guard.Tell()
+	rep.StoreUnreachable = r.replica.StoreUnreachable()
+	rep.Requests = r.guard.PendingRecords()
 	if !rep.Brief {
 		r.pool.fillReport(rep, now)
 	}
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -97,7 +97,7 @@
 // failed read is logged and retried after the interval.
 func (r *Registry) Start(ctx context.Context) error {
 	r.poll(ctx)
-	go pause.Every(ctx, r.interval, r.poll)
+	go pause.RunPeriodically(ctx, r.interval, r.poll)
 	return nil
 }
 
@@ -213,7 +213,7 @@
 		}
 		vm, ok := next[old.ID]
 		if !ok || vm.State == vmlist.StateLeaving || vm.Incarnation != old.Incarnation {
-			r.damper.Depart(old.ID, r.now())
+			r.damper.RecordDeparture(old.ID, r.now())
 		}
 	}
 }
