--- a/lab/soak/caller.go
+++ b/lab/soak/caller.go
@@ -14,13 +14,13 @@
 	"github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// habit is how a caller uses its connections.
-type habit int
+// mode is how a caller uses its connections.
+type mode int
 
 const (
-	// pausing waits a moment between an answer and the next request.
-	pausing habit = iota
-	// eager sends the next request in the moment in which an answer ends.
+	// pausing waits between a response and the next request.
+	pausing mode = iota
+	// eager sends the next request as soon as a response ends.
 	eager
 	// pipelining sends two requests at once.
 	pipelining
@@ -28,60 +28,60 @@
 	halfClosing
 )
 
-func (h habit) String() string {
-	return [...]string{"pausing", "eager", "pipelining", "half_closing"}[h]
+func (m mode) String() string {
+	return [...]string{"pausing", "eager", "pipelining", "half_closing"}[m]
 }
 
 const (
-	// callerPause is the mean pause of a caller that pauses, and of all after a
-	// failure or between two connections.
+	// callerPause is the mean pause of a pausing caller, and of every caller after a failure and
+	// between two connections.
 	callerPause = 25 * time.Millisecond
-	// dialTimeout is how long a new connection may take.
+	// dialTimeout limits the setup of a new connection.
 	dialTimeout = time.Second
-	// lateness is how long after its deadline a caller still reads: a node that
-	// closes the connection then is told from one that never answers.
-	lateness = time.Second
-	// inFlight is how many requests a pipelining caller sends at once.
+	// readSlack is how long after its deadline a caller keeps reading, to distinguish a node that
+	// closes the connection at that point from one that never answers.
+	readSlack = time.Second
+	// inFlight is the number of requests that a pipelining caller sends at once.
 	inFlight = 2
 )
 
-// exchange is one request and what came of it.
+// exchange is one request and its outcome.
 type exchange struct {
 	id, path string
 	node     *process
-	habit    habit
-	// kept says that the connection had served a request before, queued that the
-	// request was sent behind another.
-	kept, queued bool
-	deadline     time.Duration
-	request      *http.Request
-	// sent is when its last byte was, ended when its answer or its connection
-	// did.
+	mode     mode
+	// reused is set if the connection had served a request before, queued if the request was sent
+	// before the response to the previous one.
+	reused, queued bool
+	deadline       time.Duration
+	request        *http.Request
+	// sent is when the last byte of the request was sent, ended when the response or the
+	// connection ended. For a queued request sent is when the previous response ended.
 	sent, ended time.Time
 	status      int
 	header      http.Header
 	body        string
-	// anyByte says that a byte of an answer came.
+	// anyByte is set if at least one byte of the response arrived.
 	anyByte bool
-	// err is how the answer broke off; nil if it is complete.
+	// err is why the response is incomplete, nil if it is complete.
 	err error
 }
 
-// gaveUp says that the connection was still open when the caller left.
-func (x *exchange) gaveUp() bool {
+// timedOut reports whether the connection was still open when the caller stopped reading.
+func (x *exchange) timedOut() bool {
 	t, ok := x.err.(net.Error)
 	return ok && t.Timeout()
 }
 
-// elapsed is how long the request took.
+// elapsed returns how long the request took.
 func (x *exchange) elapsed() time.Duration { return x.ended.Sub(x.sent) }
 
-// caller sends requests on connections that it keeps until the node ends them.
+// caller sends requests on persistent connections until the node closes them.
 type caller struct {
-	nodes []*process
-	rng   *rand.Rand
-	habit habit
-	note  func(*exchange)
+	nodes   []*process
+	rng     *rand.Rand
+	mode    mode
+	observe func(*exchange)
 }
 
 // loop sends requests until the context ends.
@@ -100,42 +100,42 @@
 	time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(callerPause)))
 }
 
-// use sends requests on one connection until it ends or the node asks to close.
+// use sends requests on one connection until it ends or the node sends Connection: close.
 func (c *caller) use(ctx context.Context, n *process, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	r := bufio.NewReader(conn)
 	for sent := 0; ctx.Err() == nil; {
-		batch := c.draw(n, sent)
-		if !c.send(conn, batch, c.habit == halfClosing && sent > 0) {
+		batch := c.newBatch(n, sent)
+		if !c.send(conn, batch, c.mode == halfClosing && sent > 0) {
 			return
 		}
 		for _, x := range batch {
 			ok := x.read(conn, r)
-			c.note(x)
+			c.observe(x)
 			if !ok {
 				return
 			}
 		}
 		sent += len(batch)
-		if c.habit == halfClosing && sent > 1 {
+		if c.mode == halfClosing && sent > 1 {
 			return
 		}
-		if c.habit == pausing || batch[0].status != http.StatusOK {
+		if c.mode == pausing || batch[0].status != http.StatusOK {
 			c.pause()
 		}
 	}
 }
 
-// draw returns the requests that are sent next.
-func (c *caller) draw(n *process, sent int) []*exchange {
+// newBatch returns the requests that are sent next on a connection that has sent some already.
+func (c *caller) newBatch(n *process, sent int) []*exchange {
 	count := 1
-	if c.habit == pipelining {
+	if c.mode == pipelining {
 		count = inFlight
 	}
 	batch := make([]*exchange, count)
 	for i := range batch {
 		batch[i] = c.newExchange(n)
-		batch[i].kept, batch[i].queued = sent+i > 0, i > 0
+		batch[i].reused, batch[i].queued = sent+i > 0, i > 0
 	}
 	return batch
 }
@@ -144,8 +144,8 @@
 
 var deadlines = []time.Duration{2 * time.Second, 4 * time.Second, 7 * time.Second}
 
-// Lengths of a run. A slow one lasts up to the grace time; an eager caller has
-// many of these, so that one follows the other while its node stops.
+// How long targets work on a request. A slow request takes up to the grace time. Eager callers send
+// more slow requests, so that one follows another while the node stops.
 const (
 	fastBefore = 20 * time.Millisecond
 	slowPart   = 0.15
@@ -156,19 +156,19 @@
 
 func (c *caller) newExchange(n *process) *exchange {
 	x := &exchange{
-		id: standin.NewID(), path: paths[c.rng.IntN(len(paths))], node: n, habit: c.habit,
+		id: standin.NewID(), path: paths[c.rng.IntN(len(paths))], node: n, mode: c.mode,
 		deadline: deadlines[c.rng.IntN(len(deadlines))],
 	}
 	r := standin.Request{Path: x.path, ID: x.id, Deadline: x.deadline, Header: make(http.Header)}
 	if x.path != standin.SafePath {
 		r.Body = "the body"
 	}
-	set := func(name string, most time.Duration) {
-		r.Header.Set(name, fmt.Sprint(c.rng.Int64N(most.Milliseconds())))
+	set := func(name string, limit time.Duration) {
+		r.Header.Set(name, fmt.Sprint(c.rng.Int64N(limit.Milliseconds())))
 	}
 	set(standin.BeforeHeader, fastBefore)
 	slow := slowPart
-	if c.habit == eager {
+	if c.mode == eager {
 		slow = eagerSlow
 	}
 	if c.rng.Float64() < slow {
@@ -185,8 +185,9 @@
 	return x
 }
 
-// send writes the requests at once, and reports whether all of it was taken.
-func (c *caller) send(conn net.Conn, batch []*exchange, closes bool) bool {
+// send writes all requests of the batch at once, and reports whether everything was written.
+// With halfClose it then closes the sending side of the connection.
+func (c *caller) send(conn net.Conn, batch []*exchange, halfClose bool) bool {
 	var out strings.Builder
 	for _, x := range batch {
 		if err := x.request.Write(&out); err != nil {
@@ -194,9 +195,9 @@
 		}
 	}
 	if _, err := io.WriteString(conn, out.String()); err != nil {
-		return false // what isn't sent whole isn't owed an answer
+		return false // a request that wasn't sent completely needs no response
 	}
-	if closes {
+	if halfClose {
 		if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 			return false
 		}
@@ -208,13 +209,13 @@
 	return true
 }
 
-// read takes the answer, and reports whether the connection can be used on.
+// read reads the response, and reports whether the connection can be reused.
 func (x *exchange) read(conn net.Conn, r *bufio.Reader) bool {
 	defer func() { x.ended = time.Now() }()
 	if x.queued {
-		x.sent = time.Now() // its turn comes with the end of the answer before
+		x.sent = time.Now() // the node starts on it after the previous response
 	}
-	if x.err = conn.SetReadDeadline(time.Now().Add(x.deadline + lateness)); x.err != nil {
+	if x.err = conn.SetReadDeadline(time.Now().Add(x.deadline + readSlack)); x.err != nil {
 		return false
 	}
 	if _, x.err = r.Peek(1); x.err != nil {
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -15,24 +15,27 @@
 type Report struct {
 	Seed     uint64
 	Requests int
-	Whole    int
-	Refused  int
-	Failed   int
-	// Early are those of Failed that had time left.
+	// Whole counts complete successful responses, Refused responses that say that the request was
+	// not run, Failed all other responses.
+	Whole   int
+	Refused int
+	Failed  int
+	// Early counts those of Failed that ended before their deadline.
 	Early int
-	// Cut were ended without a whole answer, of which Unanswered had no byte of
-	// one. Late were still open when their caller left.
+	// Cut counts requests whose connection ended without a complete response; for Unanswered of
+	// them not a byte of it arrived. Late counts requests whose connection was still open when the
+	// caller stopped reading.
 	Cut, Unanswered, Late int
-	// Stalled is how long the machine ran nothing.
+	// Stalled is how long the machine didn't run this process.
 	Stalled time.Duration
 	Steps   []Step
-	// Broken are the promises that did not hold, with the request or node.
+	// Broken lists the promises that did not hold, each with the request or node.
 	Broken []string
-	// Findings are what breaks a promise only if there is more of it.
+	// Findings lists events that break a promise only above a certain number.
 	Findings []string
 }
 
-// String is the line of a run.
+// String returns the result line of a run.
 func (r *Report) String() string {
 	return fmt.Sprintf(
 		"soak: seed=%d requests=%d whole=%d refused=%d failed=%d early=%d cut=%d unanswered=%d late=%d stalled=%.1fs steps=%d findings=%d broken=%d",
@@ -48,34 +51,34 @@
 	r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 }
 
-// addOwnEnds adds what programs did that none may do.
-func (r *Report) addOwnEnds(nodes []*process) {
+// addExits adds the faults of the nodes' programs to Broken and their early exits to Findings.
+func (r *Report) addExits(nodes []*process) {
 	for _, n := range nodes {
-		faults, early := n.ownEnds()
+		faults, earlyExits := n.exits()
 		for _, fault := range faults {
 			r.broken("%s %s", n.name, fault)
 		}
-		for _, end := range early {
+		for _, end := range earlyExits {
 			r.finding("%s %s, before its first line", n.name, end)
 		}
 	}
 }
 
-// checker checks what comes back from nodes.
+// checker checks the responses of nodes.
 type checker struct {
 	journal *standin.Journal
 	events  int
-	// services are the services that may run a path.
+	// services maps a path to the service that may run its requests.
 	services map[string]string
-	lost     *lostRule
+	lost     *lossCheck
 
 	mu      sync.Mutex
 	report  *Report
-	refused []string          // IDs that were told "not run"
-	paths   map[string]string // path by ID
+	refused []string          // IDs whose response says that the request was not run
+	paths   map[string]string // paths by request ID
 }
 
-func newChecker(j *standin.Journal, seed uint64, l *lostRule) *checker {
+func newChecker(j *standin.Journal, seed uint64, l *lossCheck) *checker {
 	return &checker{
 		journal: j, events: standin.DefaultEvents, report: &Report{Seed: seed}, lost: l,
 		paths: make(map[string]string),
@@ -88,19 +91,19 @@
 
 func (c *checker) broken(format string, args ...any) { c.report.broken(format, args...) }
 
-// note checks what came of a request.
-func (c *checker) note(x *exchange) {
+// observe counts a completed exchange and checks it.
+func (c *checker) observe(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Requests++
 	c.paths[x.id] = x.path
-	c.lost.note(x)
+	c.lost.observe(x)
 	switch {
 	case x.err != nil:
-		c.judgeCut(x)
+		c.checkCut(x)
 	case x.status == http.StatusOK:
 		c.report.Whole++
-		c.judgeSuccess(x)
+		c.checkSuccess(x)
 	case x.status == http.StatusServiceUnavailable || x.status == http.StatusTooManyRequests:
 		c.report.Refused++
 		c.refused = append(c.refused, x.id)
@@ -111,36 +114,36 @@
 		c.broken("request %s: %d for what the configuration allows", x.id, x.status)
 	default:
 		c.report.Failed++
-		if !c.lost.timeIsUp(x, 1) {
+		if !c.lost.timeUsed(x, 1) {
 			c.report.Early++
 		}
 	}
 }
 
-// want is the whole body of the answer to a request.
-func (c *checker) want(x *exchange) string {
+// wantBody returns the complete body of the response to a request.
+func (c *checker) wantBody(x *exchange) string {
 	if c.services[x.path] == standin.ModelPool {
 		return standin.WholeStream(x.id, c.events)
 	}
 	return "whole answer to " + x.id
 }
 
-func (c *checker) judgeSuccess(x *exchange) {
-	if x.body != c.want(x) {
+func (c *checker) checkSuccess(x *exchange) {
+	if x.body != c.wantBody(x) {
 		c.broken("request %s: a success that is not its whole answer: %.60q", x.id, x.body)
 	}
-	c.judgeHeader(x)
+	c.checkHeader(x)
 }
 
-func (c *checker) judgeHeader(x *exchange) {
+func (c *checker) checkHeader(x *exchange) {
 	if x.header.Get("Engine-Signature") == "" || x.header.Get("Request-Id") != x.id {
 		c.broken("request %s: a success without signature or with another ID", x.id)
 	}
 }
 
-func (c *checker) judgeCut(x *exchange) {
+func (c *checker) checkCut(x *exchange) {
 	switch {
-	case x.gaveUp():
+	case x.timedOut():
 		c.report.Late++
 	case x.anyByte:
 		c.report.Cut++
@@ -149,20 +152,20 @@
 		c.report.Unanswered++
 	}
 	if x.status == http.StatusOK {
-		c.judgeHeader(x)
-		if !strings.HasPrefix(c.want(x), x.body) {
+		c.checkHeader(x)
+		if !strings.HasPrefix(c.wantBody(x), x.body) {
 			c.broken("request %s: a cut answer is no beginning of its answer: %.60q", x.id, x.body)
 		}
 	}
 }
 
-// attempts are the most runs of a request, by its path.
-var attempts = map[string]int{
+// maxRuns maps a path to how often one request to it may run.
+var maxRuns = map[string]int{
 	standin.StreamPath: 1, standin.UnsafePath: 1, standin.ResumePath: 2, standin.SafePath: 2,
 }
 
-// settle checks the journal of the targets against what callers were told.
-func (c *checker) settle() {
+// finish checks, after the run, the targets' journal against the responses that callers got.
+func (c *checker) finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.refused {
@@ -171,17 +174,17 @@
 		}
 	}
 	for id, path := range c.paths {
-		c.judgeRuns(id, path)
+		c.checkRuns(id, path)
 	}
 	c.report.Stalled = c.lost.stalls.total()
-	broken, findings := c.lost.settle()
+	broken, findings := c.lost.finish()
 	c.report.Broken = append(c.report.Broken, broken...)
 	c.report.Findings = append(c.report.Findings, findings...)
 }
 
-func (c *checker) judgeRuns(id, path string) {
+func (c *checker) checkRuns(id, path string) {
 	runs := c.journal.Runs(id)
-	if len(runs) > attempts[path] {
+	if len(runs) > maxRuns[path] {
 		c.broken("request %s to %s ran %d times", id, path, len(runs))
 	}
 	for _, run := range runs {
--- a/lab/soak/domains.go
+++ b/lab/soak/domains.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// evacuateFor is how long an evacuation lasts, evacuateBound how long after it began
-	// nothing may reach the domain any more, if no harm came to the store or the sending
-	// node in the evacuateContact before.
-	evacuateFor     = 8 * time.Second
-	evacuateBound   = 5 * time.Second
-	evacuateContact = 4 * time.Second
-	// A target that comes back is cold for coldFor. It bears coldPerSecond requests a
-	// second by the configuration and ends at more than coldBound in any second.
+	// evacuateFor is how long an evacuation lasts. No request may reach the domain later than
+	// evacuateBound after its beginning, if neither the store nor the sending node was disrupted
+	// in the last evacuateQuiet before the request.
+	evacuateFor   = 8 * time.Second
+	evacuateBound = 5 * time.Second
+	evacuateQuiet = 4 * time.Second
+	// A target that returns is cold for coldFor. The configuration allows it coldPerSecond
+	// requests a second; it terminates at more than coldBound in any second.
 	coldFor       = 3 * time.Second
 	coldPerSecond = 4
 	coldBound     = coldPerSecond*3/2 + 5
 )
 
-// limitCold is a change of the configuration by which cold targets bear coldPerSecond.
+// limitCold is a change of the configuration that limits cold targets to coldPerSecond.
 func limitCold(cfg map[string]any) {
 	for _, s := range cfg["services"].([]any) {
 		service := s.(map[string]any)
@@ -31,37 +31,38 @@
 	}
 }
 
-// domainsRule is what must hold of evacuated failure domains and cold targets.
-type domainsRule struct {
+// domainCheck holds what the check of evacuated failure domains and cold targets needs.
+type domainCheck struct {
 	mu      sync.Mutex
 	engines []*standin.Engine
-	// evacuated are the evacuations of each failure domain.
+	// evacuated holds the evacuations of each failure domain.
 	evacuated map[string]*timeline
-	// returned says that targets that start now come back cold.
-	returned bool
-	// busy is held while a domain is evacuated or away, so that two are left.
+	// startCold is set if targets that are started from now on are cold.
+	startCold bool
+	// busy is held while a domain is evacuated or has no targets, so that two of the three domains
+	// always serve.
 	busy sync.Mutex
 }
 
-func (d *domainsRule) setCold() {
+func (d *domainCheck) setCold() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.returned = true
+	d.startCold = true
 }
 
-func (d *domainsRule) add(e *standin.Engine) {
+func (d *domainCheck) add(e *standin.Engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.engines = append(d.engines, e)
 }
 
-func (d *domainsRule) cold() bool {
+func (d *domainCheck) cold() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.returned
+	return d.startCold
 }
 
-func (d *domainsRule) of(domain string) *timeline {
+func (d *domainCheck) evacuationsOf(domain string) *timeline {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t, ok := d.evacuated[domain]
@@ -72,8 +73,8 @@
 	return t
 }
 
-// evacuate has a failure domain evacuated and taken back, unless another is: one is to
-// be left for the requests.
+// evacuate evacuates a failure domain and ends the evacuation later. It does nothing while another
+// domain is evacuated or without targets, so that requests still have domains to go to.
 func (r *run) evacuate(s Step) {
 	domain := fmt.Sprint("zone-", s.Which%3)
 	key := "op/evacuate/" + domain
@@ -82,15 +83,15 @@
 	}
 	defer r.domains.busy.Unlock()
 	r.store.Put(key, map[string]any{})
-	end := r.domains.of(domain).begin()
+	end := r.domains.evacuationsOf(domain).begin()
 	time.Sleep(min(evacuateFor, r.Length-calmAtEnd-s.At+evacuateBound/2))
 	end()
 	r.store.Remove(key)
 }
 
-// coldReturn has all targets of a failure domain end, and others start in their places
-// together, cold.
-func (r *run) coldReturn(s Step) {
+// replaceDomain crashes all targets of a failure domain and later starts cold ones in their places,
+// all at once. Like evacuate it does nothing while another domain is out of service.
+func (r *run) replaceDomain(s Step) {
 	domain := fmt.Sprint("zone-", s.Which%3)
 	if !r.domains.busy.TryLock() {
 		return
@@ -107,18 +108,18 @@
 	r.mu.Unlock()
 	for _, t := range lost {
 		e := t.current()
-		defer r.harmOf(e.ID).begin()()
+		defer r.targetFaultsOf(e.ID).begin()()
 		e.Crash()
 		r.store.Remove("servers/" + e.ID)
 	}
 	time.Sleep(s.For)
 	for i, t := range lost {
 		e := t.current()
-		t.put(r, replacement(e, Step{Fault: s.Fault + i}), e.Service, domain)
+		t.start(r, replacementID(e, Step{Variant: s.Variant + i}), e.Service, domain)
 	}
 }
 
-// checkDomains checks what reached evacuated failure domains and cold targets.
+// checkDomains checks the requests that reached evacuated failure domains and cold targets.
 func (r *run) checkDomains() {
 	r.domains.mu.Lock()
 	engines := r.domains.engines
@@ -138,21 +139,21 @@
 }
 
 func (r *run) checkEvacuated(id string, run standin.Run, domain string) {
-	evacuations := r.domains.of(domain)
+	evacuations := r.domains.evacuationsOf(domain)
 	begun, ok := evacuations.last(run.Began)
 	late := run.Began.Sub(begun)
-	if !ok || late <= evacuateBound || !evacuations.touches(run.Began, run.Began) {
+	if !ok || late <= evacuateBound || !evacuations.overlaps(run.Began, run.Began) {
 		return
 	}
-	from := run.Began.Add(-evacuateContact)
+	from := run.Began.Add(-evacuateQuiet)
 	n := r.sender(id)
-	if r.lost.core.touches(from, run.Began) || n != nil && (n.harmed.touches(from, run.Began) || n.begun.touches(from, run.Began)) {
+	if r.lost.storeFaults.overlaps(from, run.Began) || n != nil && (n.disrupted.overlaps(from, run.Began) || n.starts.overlaps(from, run.Began)) {
 		return
 	}
 	r.checker.broken("request %s ran at %s in %s %v after that was evacuated", id, run.Engine, domain, late)
 }
 
-// sender returns the node that a request went through, nil if none logged it.
+// sender returns the node that handled a request, nil if none logged it.
 func (r *run) sender(id string) *process {
 	field := fmt.Sprintf(`"request":%q`, id)
 	for _, n := range r.nodes {
--- a/lab/soak/ending.go
+++ b/lab/soak/ending.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// endingPause is the mean pause between two copies of a request that ends its
-	// targets, and endingRun how long it runs before, in milliseconds.
+	// endingPause is the mean pause between two copies of a request that terminates its targets,
+	// and endingRun how long each runs before it does so, in milliseconds.
 	endingPause = 600 * time.Millisecond
 	endingRun   = "40"
-	// endedFor is how long a target is away then.
-	endedFor = 700 * time.Millisecond
-	// mostEnded is how many targets such a request may end if its copies come one by
-	// one: three, by which it is known, and one on the way of that news.
-	mostEnded = 4
-	// forgotten are those that it may end again if all nodes end before it is noted, and
-	// noting how long that may take.
-	forgotten = 3
-	noting    = 3 * time.Second
+	// targetDowntime is how long a target terminated by such a request stays down.
+	targetDowntime = 700 * time.Millisecond
+	// maxEnded is how many targets such a request may terminate if its copies arrive one after
+	// the other: three, after which it is quarantined, and one more before every node has
+	// received that.
+	maxEnded = 4
+	// endedAfterKillAll is how many more it may terminate if all nodes are killed before its
+	// quarantine is recorded in the store, and recordTime how long recording may take.
+	endedAfterKillAll = 3
+	recordTime        = 3 * time.Second
 )
 
-// sendEnding sends copies of a request that ends its targets, one by one, to any node.
+// sendEnding sends copies of a request that terminates its targets, one after the other, to
+// random nodes.
 func (r *run) sendEnding(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.Seed, 1<<32))
 	for ctx.Err() == nil {
@@ -39,20 +41,21 @@
 	}
 }
 
-// noteEnd is called as a target ends under such a request, and has it start again.
-func (r *run) noteEnd(t *target, e *standin.Engine) {
-	end := r.harmOf(e.ID).begin()
-	r.ends.note()
-	t.proxy.Leave()
+// targetEnded is called when such a request terminates a target, and restarts the target after
+// targetDowntime.
+func (r *run) targetEnded(t *target, e *standin.Engine) {
+	end := r.targetFaultsOf(e.ID).begin()
+	r.ends.observe()
+	t.proxy.StopListening()
 	born := e.Born()
 	go func() {
 		defer end()
-		time.Sleep(endedFor)
-		t.replacing.Lock()
-		defer t.replacing.Unlock()
-		r.must(t.proxy.Return())
+		time.Sleep(targetDowntime)
+		t.replaceMu.Lock()
+		defer t.replaceMu.Unlock()
+		r.must(t.proxy.ResumeListening())
 		if e != t.current() || e.Born() != born {
-			return // it was replaced or has started again meanwhile
+			return // it was replaced or restarted meanwhile
 		}
 		e.Move()
 		t.proxy.Redirect(e.Addr())
@@ -60,38 +63,39 @@
 	}()
 }
 
-// endsRule bounds how many targets such a request may end.
-type endsRule struct {
+// endingCheck limits how many targets such a request may terminate.
+type endingCheck struct {
 	journal *standin.Journal
-	// store says whether the store was harmed in a time.
-	store func(from, to time.Time) bool
+	// storeDisrupted reports whether the store was disrupted between two times.
+	storeDisrupted func(from, to time.Time) bool
 
 	mu    sync.Mutex
-	last  time.Time // of the newest end
+	last  time.Time // when a target was terminated last
 	extra int
 }
 
-func (e *endsRule) note() {
+func (e *endingCheck) observe() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.last = time.Now()
 }
 
-// killsAll is for the end of all nodes: what they know is lost unless it was noted in the
-// store, which takes a moment and the store.
-func (e *endsRule) killsAll() {
+// allowKillAll raises the limit, before all nodes are killed, if the quarantine may not be recorded
+// yet. Nodes lose what they have learned unless it is in the store; recording takes recordTime and
+// a store without faults.
+func (e *endingCheck) allowKillAll() {
 	ended := e.journal.Ended()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	noted := e.last.Add(noting)
-	if ended > 0 && (time.Now().Before(noted) || ended < mostEnded-1 || e.store(e.last, noted)) {
-		e.extra += forgotten
+	recorded := e.last.Add(recordTime)
+	if ended > 0 && (time.Now().Before(recorded) || ended < maxEnded-1 || e.storeDisrupted(e.last, recorded)) {
+		e.extra += endedAfterKillAll
 	}
 }
 
-// count returns how many targets ended and how many may have.
-func (e *endsRule) count() (ended, most int) {
+// count returns how many targets were terminated and how many may be.
+func (e *endingCheck) count() (ended, limit int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.journal.Ended(), mostEnded + e.extra
+	return e.journal.Ended(), maxEnded + e.extra
 }
--- a/lab/soak/fleet.go
+++ b/lab/soak/fleet.go
@@ -15,47 +15,47 @@
 	"github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// grace is the nodes' time from SIGTERM to SIGKILL in seconds.
+// grace is the time from SIGTERM to SIGKILL of router nodes, in seconds.
 const grace = 5
 
-// process is one node: a program with its settings, started again after it has
-// ended.
+// process is one node: its settings and the program that runs it, which is restarted after it has
+// exited.
 type process struct {
 	name string
-	// command returns the program before each start.
+	// command returns the command of the next start.
 	command func() (*exec.Cmd, error)
 	// grace is the time from SIGTERM to SIGKILL.
 	grace time.Duration
 	logs  string
 	front string
 	ready string
-	// store is the node's way to the store, nil if it has none of its own.
+	// store is the proxy between this node and the store, nil if the node has none.
 	store *Proxy
 
-	// harmed is when the node was killed or frozen, begun when its programs
-	// began, asked when they were first asked to stop, reloads when they were
-	// told that their settings have changed.
-	harmed, begun, asked, reloads timeline
+	// disrupted holds when the node was killed or frozen, starts when its programs were
+	// started, stopSignals when each program got its first SIGTERM, and reloads when they got
+	// SIGHUP, which reloads the settings.
+	disrupted, starts, stopSignals, reloads timeline
 
 	mu      sync.Mutex
 	last    *incarnation
 	stopped bool
-	// all are the programs that were started.
+	// all holds every program that was started.
 	all []*incarnation
-	// faults are what a program did that none may do, early the ends of programs
-	// by a signal for which they had not asked yet.
-	faults, early []string
+	// faults are unexpected exits and other forbidden behaviour of programs. earlyExits are exits
+	// by a signal that came before the program had installed its signal handlers.
+	faults, earlyExits []string
 }
 
 // incarnation is one run of a node's program.
 type incarnation struct {
 	cmd *exec.Cmd
-	// ended is closed when it has ended.
+	// ended is closed after the program has exited.
 	ended chan struct{}
-	// stopping says that it was asked to end or killed.
+	// stopping is set once the program got SIGTERM or SIGKILL.
 	stopping bool
-	// logged is the size of the node's log at its start.
-	logged int64
+	// logStart is the size of the node's log in bytes when the program was started.
+	logStart int64
 }
 
 // newProcess prepares node i of n.
@@ -96,15 +96,14 @@
 	return p, os.WriteFile(settings, raw, 0o600)
 }
 
-// Loopback addresses: runs side by side have networks of their own, apart from
-// that of other tests.
+// Loopback addresses: concurrent runs use separate networks, which other tests don't use either.
 const (
 	firstNetwork = 10
 	networks     = 200
 	hosts        = 250
 )
 
-// nodeIP is the address of node i in the run of a seed.
+// nodeIP returns the IP address of node i in the run of a seed.
 func nodeIP(seed uint64, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", firstNetwork+seed%networks, i/hosts, 2+i%hosts)
 }
@@ -112,8 +111,8 @@
 // start starts the program, with its output appended to the node's log.
 func (p *process) start() error { return p.startAfter(nil) }
 
-// startAfter starts the program if the one that ended by then is still the
-// last: steps overlap, and another may have started it.
+// startAfter starts the program if ended is still the last one that was started. Steps overlap, so
+// another step may have restarted it already.
 func (p *process) startAfter(ended *incarnation) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +124,7 @@
 		return err
 	}
 	defer func() { _ = out.Close() }() // the program has its own copy
-	logged := p.logSize()
+	logStart := p.logSize()
 	cmd, err := p.command()
 	if err != nil {
 		return err
@@ -134,35 +133,35 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.begun.mark()
-	p.last = &incarnation{cmd: cmd, ended: make(chan struct{}), logged: logged}
+	p.starts.mark()
+	p.last = &incarnation{cmd: cmd, ended: make(chan struct{}), logStart: logStart}
 	p.all = append(p.all, p.last)
-	go p.await(p.last)
+	go p.waitExit(p.last)
 	return nil
 }
 
-// await notes the end of a program.
-func (p *process) await(g *incarnation) {
+// waitExit waits until a program exits and records a fault if nothing had stopped it.
+func (p *process) waitExit(g *incarnation) {
 	err := g.cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fault := fmt.Sprintf("ended by itself: %v", err)
 	switch {
 	case g.stopping:
-	case p.logSize() == g.logged:
-		// The system ends a program by a signal that comes before it has asked
-		// for its signals.
-		p.early = append(p.early, fault)
-		go p.startAgain(g)
+	case p.logSize() == g.logStart:
+		// The program has logged nothing yet: a signal that arrives before the program
+		// installs its handlers terminates it.
+		p.earlyExits = append(p.earlyExits, fault)
+		go p.restartEarly(g)
 	default:
 		p.faults = append(p.faults, fault)
 	}
 	close(g.ended)
 }
 
-// startAgain starts the program after one that ended before it could take signals, as a
-// platform does.
-func (p *process) startAgain(ended *incarnation) {
+// restartEarly restarts the program after one that was terminated before it had installed its
+// signal handlers, as a platform does.
+func (p *process) restartEarly(ended *incarnation) {
 	<-ended.ended
 	if err := p.startAfter(ended); err != nil {
 		p.mu.Lock()
@@ -180,53 +179,54 @@
 	return info.Size()
 }
 
-// signal sends a signal to the last program, by its process ID, and returns that.
+// signal sends a signal to the last program by its process ID, and returns that program.
 func (p *process) signal(s syscall.Signal) *incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.last
 	switch s {
 	case syscall.SIGKILL:
-		p.harmed.mark()
+		p.disrupted.mark()
 		g.stopping = true
 	case syscall.SIGTERM:
 		if !g.stopping {
-			p.asked.mark()
+			p.stopSignals.mark()
 		}
 		g.stopping = true
 	case syscall.SIGHUP:
 		p.reloads.mark()
 	}
-	_ = g.cmd.Process.Signal(s) // it may have ended already
+	_ = g.cmd.Process.Signal(s) // it may have exited already
 	return g
 }
 
-// freeze stops the program for a while.
+// freeze suspends the program with SIGSTOP for d.
 func (p *process) freeze(d time.Duration) {
-	defer p.harmed.begin()()
+	defer p.disrupted.begin()()
 	g := p.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	_ = g.cmd.Process.Signal(syscall.SIGCONT) // it may have been killed
 }
 
-// restart sends a signal that ends the program, waits until it has ended, kills
-// it after the grace time, and starts it again.
+// restart sends a signal that terminates the program, waits until it has exited, kills it after the
+// grace time, and starts it again.
 func (p *process) restart(s syscall.Signal) error {
 	g := p.signal(s)
 	select {
 	case <-g.ended:
 	case <-time.After(p.grace):
-		p.overdue()
-		_ = g.cmd.Process.Kill() // it may have ended just now
+		p.recordOverdue()
+		_ = g.cmd.Process.Kill() // it may have exited just now
 		<-g.ended
 	}
 	return p.startAfter(g)
 }
 
-// overdue notes that the program has not ended within the grace time.
-func (p *process) overdue() {
+// recordOverdue records as a fault that the program did not exit within the grace time, unless the
+// node was disrupted meanwhile.
+func (p *process) recordOverdue() {
 	now := time.Now()
-	if p.harmed.touches(now.Add(-p.grace-contact), now) {
+	if p.disrupted.overlaps(now.Add(-p.grace-quietPeriod), now) {
 		return
 	}
 	p.mu.Lock()
@@ -234,15 +234,15 @@
 	p.faults = append(p.faults, fmt.Sprintf("had not ended %v after SIGTERM", p.grace))
 }
 
-// ownEnds returns what programs of the node did that none may do, and how they
-// ended before they could take signals.
-func (p *process) ownEnds() (faults, early []string) {
+// exits returns the faults of the node's programs, and their exits by a signal before they had
+// installed signal handlers.
+func (p *process) exits() (faults, earlyExits []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faults, p.early
+	return p.faults, p.earlyExits
 }
 
-// running returns the number of programs that have not ended.
+// running returns the number of programs that have not exited.
 func (p *process) running() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +257,7 @@
 	return n
 }
 
-// stop ends the program for good.
+// stop kills the program, which is not restarted.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.stopped = true
--- a/lab/soak/lost.go
+++ b/lab/soak/lost.go
@@ -10,55 +10,55 @@
 	"github.com/knapweedgw/knapweedgw/pause"
 )
 
-// Bounds of the platform's pages within which requests may be lost.
+// Limits that the platform sets on when requests may be lost.
 const (
-	// contact is how long everything must have been calm before it counts.
-	contact = 3 * time.Second
-	// lossSlack is how long after its last byte a request that was not passed
-	// on may find its connection closed.
+	// quietPeriod is how long before a request no fault may have occurred for it to count as
+	// undisturbed.
+	quietPeriod = 3 * time.Second
+	// lossSlack is how long after its last byte a request may find its connection closed and still
+	// count as not read, if it was not passed on.
 	lossSlack = 200 * time.Millisecond
-	// configApply is how long a configuration may take to be in force.
-	configApply = 2 * time.Second
-	// afterWork is how long after planned work a loss still counts as its own.
-	afterWork = time.Second
-	// lateTerm is how long after a stop a request may be sent that the stop may
-	// cut off in the last sixth of the grace time.
-	lateTerm = 3 * time.Second
-	lastPart = 6
-	// unansweredAllowed is how many requests of kept connections may go
-	// unanswered in a run.
-	unansweredAllowed = 3
-	// besideFactor is how many times as often as otherwise requests may be cut
-	// beside a change of the configuration, usedPart the part of its time after
-	// which a request doesn't count there.
-	besideFactor = 3
-	usedPart     = 0.7
+	// configApplyTime is how long a configuration may take to come into force.
+	configApplyTime = 2 * time.Second
+	// plannedSlack is how long after planned work a loss is still attributed to it.
+	plannedSlack = time.Second
+	// A stop may cut a request in the last sixth (1/graceParts) of the grace time, if the request
+	// was sent no later than lateRequest after SIGTERM.
+	lateRequest = 3 * time.Second
+	graceParts  = 6
+	// maxUnanswered is how many requests on reused connections may go unanswered in a run.
+	maxUnanswered = 3
+	// Near a change of the configuration requests may be cut at most nearChangeFactor times as
+	// often as at other times. A request that has used the fraction usedPart of its time doesn't
+	// count as lost by the change.
+	nearChangeFactor = 3
+	usedPart         = 0.7
 )
 
-// lostRule finds requests that were read whole and whose connection ended
-// without a whole answer, where nothing excuses it.
-type lostRule struct {
+// lossCheck finds requests that a node read completely and whose connection ended without a complete
+// response, though no fault or limit allows it.
+type lossCheck struct {
 	journal *standin.Journal
-	// core is the harm to the store, configs the changes of the configuration.
-	core, configs timeline
-	// stalls is when the machine ran nothing.
+	// storeFaults holds when the store was disrupted, configChanges when the configuration changed.
+	storeFaults, configChanges timeline
+	// stalls holds when the machine didn't run this process.
 	stalls timeline
-	// targets is the harm to each engine, by its ID.
-	targets  func(id string) *timeline
-	timeouts timeoutHistory
+	// targetFaults returns when an engine was disrupted, by engine ID.
+	targetFaults func(id string) *timeline
+	timeouts     timeoutHistory
 
-	mu     sync.Mutex
-	cuts   []*exchange
-	late   []*exchange // still open when their caller left
-	beside ratio       // beside a change of the configuration
-	other  ratio
+	mu         sync.Mutex
+	cuts       []*exchange
+	late       []*exchange // still open when the caller stopped reading
+	nearChange ratio       // requests near a change of the configuration
+	other      ratio
 }
 
 type ratio struct{ cut, of int }
 
 func (r ratio) value() float64 { return float64(r.cut) / float64(max(r.of, 1)) }
 
-// timeoutHistory are the route timeouts that were in force, oldest first.
+// timeoutHistory holds the route timeouts of a run, oldest first.
 type timeoutHistory struct {
 	mu  sync.Mutex
 	all []timeoutAt
@@ -82,7 +82,7 @@
 	defer h.mu.Unlock()
 	shortest := time.Duration(1<<63 - 1)
 	for i, t := range h.all {
-		superseded := i+1 < len(h.all) && h.all[i+1].at.Add(configApply).Before(from)
+		superseded := i+1 < len(h.all) && h.all[i+1].at.Add(configApplyTime).Before(from)
 		if !superseded && t.at.Before(to) {
 			shortest = min(shortest, t.timeout)
 		}
@@ -90,36 +90,36 @@
 	return shortest
 }
 
-// note takes a request that has ended.
-func (l *lostRule) note(x *exchange) {
+// observe adds a request that has ended.
+func (l *lossCheck) observe(x *exchange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	cut := x.err != nil && !x.gaveUp()
-	if x.gaveUp() {
+	cut := x.err != nil && !x.timedOut()
+	if x.timedOut() {
 		l.late = append(l.late, x)
 	}
 	r := &l.other
-	if l.besideConfig(x) {
-		r = &l.beside
+	if l.nearConfigChange(x) {
+		r = &l.nearChange
 	}
 	r.of++
 	if cut {
 		l.cuts = append(l.cuts, x)
 	}
-	if cut && !l.timeIsUp(x, 1) {
+	if cut && !l.timeUsed(x, 1) {
 		r.cut++
 	}
 }
 
-// Stalls: a node that the machine doesn't run is no better than a frozen one.
-// The soak takes its own process for a measure of that.
+// Stalls: a node that the machine doesn't schedule behaves like a frozen one. Gaps of more than
+// stallLimit in a loop of this process that runs each stallCheck stand for such times.
 const (
 	stallCheck = 50 * time.Millisecond
 	stallLimit = 500 * time.Millisecond
 )
 
-// watchStalls notes when this process was not run, until ctx ends.
-func (l *lostRule) watchStalls(ctx context.Context) {
+// watchStalls records when this process was not run, until ctx ends.
+func (l *lossCheck) watchStalls(ctx context.Context) {
 	last := time.Now()
 	pause.Every(ctx, stallCheck, func(context.Context) {
 		now := time.Now()
@@ -130,81 +130,82 @@
 	})
 }
 
-// besideConfig says whether a request was sent or ended beside a change of the
-// configuration.
-func (l *lostRule) besideConfig(x *exchange) bool {
-	return l.configs.touches(x.sent.Add(-configApply-afterWork), x.ended)
+// nearConfigChange reports whether a change of the configuration could affect a request while it
+// was in progress.
+func (l *lossCheck) nearConfigChange(x *exchange) bool {
+	return l.configChanges.overlaps(x.sent.Add(-configApplyTime-plannedSlack), x.ended)
 }
 
-// timeIsUp says whether the request had used the given part of its time.
-func (l *lostRule) timeIsUp(x *exchange, part float64) bool {
+// timeUsed reports whether the request had used at least the given fraction of its time, which is
+// its deadline or the route timeout if that is shorter.
+func (l *lossCheck) timeUsed(x *exchange, part float64) bool {
 	wait := min(x.deadline, l.timeouts.shortest(x.sent, x.ended))
 	return x.elapsed() >= time.Duration(part*float64(wait))
 }
 
-// settle returns what is lost, after the run.
-func (l *lostRule) settle() (broken, findings []string) {
+// finish returns, after the run, the broken promises about lost requests and the findings.
+func (l *lossCheck) finish() (broken, findings []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	often := l.beside.value() > besideFactor*l.other.value()
+	frequent := l.nearChange.value() > nearChangeFactor*l.other.value()
 	for _, x := range l.cuts {
-		if why := l.planned(x, often); why != "" {
-			broken = append(broken, "lost beside "+why+": "+l.describe(x))
+		if cause := l.lossCause(x, frequent); cause != "" {
+			broken = append(broken, "lost beside "+cause+": "+l.describe(x))
 		}
 		if l.unanswered(x) {
 			findings = append(findings, "kept connection closed without an answer: "+l.describe(x))
 		}
 	}
 	for _, x := range l.late {
-		if l.inTouch(x) && !l.targetHarmed(x) {
+		if l.nodeUndisturbed(x) && !l.targetDisrupted(x) {
 			broken = append(broken, "not answered long after its deadline: "+l.describe(x))
 		}
 	}
-	if len(findings) > unansweredAllowed {
+	if len(findings) > maxUnanswered {
 		broken = append(broken, fmt.Sprintf("%d kept connections closed without an answer", len(findings)))
 	}
 	return broken, findings
 }
 
-// planned returns the planned work alone by which a request was lost, empty if
-// it isn't lost or there is an excuse. A request that ran and was cut in calm, with
-// no such work about, is lost as well.
-func (l *lostRule) planned(x *exchange, often bool) string {
-	if !l.taken(x) || l.timeIsUp(x, 1) || l.disturbed(x) {
+// lossCause returns the planned work that alone caused the loss of a request. It is empty if the
+// request isn't lost, or if a fault or a limit of the platform allows the loss. A request that ran
+// and was cut with neither faults nor planned work around it is lost as well.
+func (l *lossCheck) lossCause(x *exchange, frequent bool) string {
+	if !l.wasRead(x) || l.timeUsed(x, 1) || l.disturbed(x) {
 		return ""
 	}
 	n := x.node
-	if term, ok := n.asked.last(x.ended); ok && x.ended.Before(term.Add(grace*time.Second+afterWork)) {
+	if term, ok := n.stopSignals.last(x.ended); ok && x.ended.Before(term.Add(grace*time.Second+plannedSlack)) {
 		if l.allowedByStop(x, term) {
 			return ""
 		}
 		return fmt.Sprintf("a stop %v before its end", x.ended.Sub(term).Round(time.Millisecond))
 	}
-	if n.reloads.touches(x.sent.Add(-configApply), x.ended) {
+	if n.reloads.overlaps(x.sent.Add(-configApplyTime), x.ended) {
 		return "a reload of the settings"
 	}
-	if l.besideConfig(x) {
-		if often && !l.timeIsUp(x, usedPart) {
+	if l.nearConfigChange(x) {
+		if frequent && !l.timeUsed(x, usedPart) {
 			return "a change of the configuration"
 		}
 		return ""
 	}
-	if l.inTouch(x) && len(l.journal.Runs(x.id)) > 0 {
+	if l.nodeUndisturbed(x) && len(l.journal.Runs(x.id)) > 0 {
 		return "nothing that explains it"
 	}
 	return ""
 }
 
-// taken says whether a node has read the whole request, as far as that shows.
-func (l *lostRule) taken(x *exchange) bool {
+// wasRead reports whether a node has read the whole request, as far as can be seen from outside.
+func (l *lossCheck) wasRead(x *exchange) bool {
 	return len(l.journal.Runs(x.id)) > 0 || x.anyByte || !x.queued && x.elapsed() > lossSlack
 }
 
-// allowedByStop says whether the stop may have cut the request: a target was
-// still at work on it in the last part of the grace time.
-func (l *lostRule) allowedByStop(x *exchange, term time.Time) bool {
-	late := x.ended.After(term.Add(grace * time.Second * (lastPart - 1) / lastPart))
-	if !late || x.sent.After(term.Add(lateTerm)) {
+// allowedByStop reports whether the stop was allowed to cut the request: a target was still working
+// on it in the last part of the grace time.
+func (l *lossCheck) allowedByStop(x *exchange, term time.Time) bool {
+	late := x.ended.After(term.Add(grace * time.Second * (graceParts - 1) / graceParts))
+	if !late || x.sent.After(term.Add(lateRequest)) {
 		return false
 	}
 	for _, run := range l.journal.Runs(x.id) {
@@ -215,48 +216,50 @@
 	return false
 }
 
-// disturbed says whether anything but planned work may have ended the request.
-func (l *lostRule) disturbed(x *exchange) bool {
-	from := x.sent.Add(-contact)
+// disturbed reports whether a fault, rather than planned work, may have ended the request. Faults of
+// the store excuse only requests to the stream paths, not those to a plain service.
+func (l *lossCheck) disturbed(x *exchange) bool {
+	from := x.sent.Add(-quietPeriod)
 	plain := x.path == standin.SafePath || x.path == standin.UnsafePath
-	return x.node.harmed.touches(from, x.ended) || l.stalls.touches(from, x.ended) || !plain && l.core.touches(from, x.ended) || l.targetHarmed(x)
+	return x.node.disrupted.overlaps(from, x.ended) || l.stalls.overlaps(from, x.ended) || !plain && l.storeFaults.overlaps(from, x.ended) || l.targetDisrupted(x)
 }
 
-func (l *lostRule) targetHarmed(x *exchange) bool {
+func (l *lossCheck) targetDisrupted(x *exchange) bool {
 	for _, run := range l.journal.Runs(x.id) {
-		if l.targets(run.Engine).touches(x.sent.Add(-contact), x.ended) {
+		if l.targetFaults(run.Engine).overlaps(x.sent.Add(-quietPeriod), x.ended) {
 			return true
 		}
 	}
 	return false
 }
 
-// unanswered says whether a node in touch closed the kept connection of a
-// request that it had passed on to a sound target, without any of its answer.
-func (l *lostRule) unanswered(x *exchange) bool {
-	if x.anyByte || !x.kept || len(l.journal.Runs(x.id)) == 0 {
+// unanswered reports whether an undisturbed node closed a reused connection without a byte of the
+// response, though it had passed the request on to a target without faults.
+func (l *lossCheck) unanswered(x *exchange) bool {
+	if x.anyByte || !x.reused || len(l.journal.Runs(x.id)) == 0 {
 		return false
 	}
-	return l.inTouch(x) && !l.targetHarmed(x)
+	return l.nodeUndisturbed(x) && !l.targetDisrupted(x)
 }
 
-// inTouch says whether the node counts as in touch while it had the request.
-func (l *lostRule) inTouch(x *exchange) bool {
-	from, n := x.sent.Add(-contact), x.node
-	return !n.harmed.touches(from, x.ended) && !l.stalls.touches(from, x.ended) && !n.asked.touches(from, x.ended) &&
-		!n.begun.touches(from, x.ended) && !l.core.touches(from, x.ended)
+// nodeUndisturbed reports whether neither the node, the store nor the machine was disrupted, and the
+// node neither started nor stopped, from quietPeriod before the request to its end.
+func (l *lossCheck) nodeUndisturbed(x *exchange) bool {
+	from, n := x.sent.Add(-quietPeriod), x.node
+	return !n.disrupted.overlaps(from, x.ended) && !l.stalls.overlaps(from, x.ended) && !n.stopSignals.overlaps(from, x.ended) &&
+		!n.starts.overlaps(from, x.ended) && !l.storeFaults.overlaps(from, x.ended)
 }
 
-func (l *lostRule) describe(x *exchange) string {
+func (l *lossCheck) describe(x *exchange) string {
 	state := "before its deadline"
-	if l.timeIsUp(x, 1) {
+	if l.timeUsed(x, 1) {
 		state = "at its deadline"
 	}
-	if term, ok := x.node.asked.last(x.ended); ok {
+	if term, ok := x.node.stopSignals.last(x.ended); ok {
 		state += fmt.Sprintf(", sent %v and ended %v after the last SIGTERM",
 			x.sent.Sub(term).Round(time.Millisecond), x.ended.Sub(term).Round(time.Millisecond))
 	}
 	return fmt.Sprintf("request %s to %s at %s by a %s caller, kept=%v queued=%v, status %d, %d bytes, %v of %v, %s: %v",
-		x.id, x.path, x.node.name, x.habit, x.kept, x.queued, x.status, len(x.body),
+		x.id, x.path, x.node.name, x.mode, x.reused, x.queued, x.status, len(x.body),
 		x.elapsed().Round(time.Millisecond), min(x.deadline, l.timeouts.shortest(x.sent, x.ended)), state, x.err)
 }
--- a/lab/soak/notices.go
+++ b/lab/soak/notices.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// leaveBound is how long after a node has passed on an answer in which a target says
-	// that it leaves a request may still reach it from there.
+	// leaveBound is how long a target may still get requests from a node after that node has
+	// passed on a response in which the target announces that it leaves.
 	leaveBound = 2 * time.Second
-	// restSlack is how long after a target has asked a node for rest requests may reach it
-	// that were on their way, and restArrivals how many more may until the rest ends.
+	// A target that asks a node for a rest wants no requests from it for that time. Requests
+	// already on their way may reach it for restSlack; after that at most restArrivals may until
+	// the rest ends.
 	restSlack    = 500 * time.Millisecond
 	restArrivals = 2
-	// minRest and maxRest bound the rests that targets ask for.
+	// minRest and maxRest limit the length of the rests that targets ask for.
 	minRest = time.Second
 	maxRest = 3 * time.Second
-	// fewRefusals is how many requests a target turns away that does so only now and then.
+	// fewRefusals is how many requests a target rejects in a step that doesn't reject all.
 	fewRefusals = 3
 )
 
-// noticesRule is what must hold of targets that say of themselves that they leave or want
-// rest.
-type noticesRule struct {
+// announcementCheck holds what the check of targets that announce that they leave or want a rest
+// needs.
+type announcementCheck struct {
 	mu sync.Mutex
-	// nodes are those that requests went to, by the request's ID.
-	nodes map[string]*process
-	told  []told
+	// nodes maps a request ID to the node that the request was sent to.
+	nodes   map[string]*process
+	leaving []leaveAnnouncement
 }
 
-// told is an answer that a node has passed on from a target that says that it leaves.
-type told struct {
+// leaveAnnouncement is a response, passed on by a node, in which a target announces that it leaves.
+type leaveAnnouncement struct {
 	node    *process
 	request string
 	engine  string
@@ -42,46 +43,47 @@
 
 const headerSignature = "sig-"
 
-func (n *noticesRule) note(x *exchange) {
+func (n *announcementCheck) observe(x *exchange) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[x.id] = x.node
 	engine, ok := strings.CutPrefix(x.header.Get("Engine-Signature"), headerSignature)
 	if ok && x.err == nil && x.header.Get("Server-Leaving") != "" {
-		n.told = append(n.told, told{node: x.node, request: x.id, engine: engine, at: x.ended})
+		n.leaving = append(n.leaving, leaveAnnouncement{node: x.node, request: x.id, engine: engine, at: x.ended})
 	}
 }
 
-// leave has a target say in its answers that it leaves, while another joins and the store
-// is silent. Its entry says so only afterwards.
-func (r *run) leave(s Step) {
+// announceLeave makes a target announce in its responses that it leaves, while another joins and
+// the store doesn't answer. The target's entry in the store changes only afterwards.
+func (r *run) announceLeave(s Step) {
 	t := r.target(s)
 	e := t.current()
-	r.must(r.addTarget(replacement(e, s), e.Service, s.Which))
+	r.must(r.addTarget(replacementID(e, s), e.Service, s.Which))
 	e.SayLeaving()
-	r.silence(s.For + leaveBound)
-	if s.Fault%2 == 0 {
+	r.silenceStore(s.For + leaveBound)
+	if s.Variant%2 == 0 {
 		r.store.Put("servers/"+e.ID, e.Entry("draining"))
 		time.Sleep(drainTime)
 	}
 	r.store.Remove("servers/" + e.ID)
 }
 
-// silence has the store answer nobody for a while.
-func (r *run) silence(d time.Duration) {
-	defer r.lost.core.begin()()
+// silenceStore makes the store answer no request for d.
+func (r *run) silenceStore(d time.Duration) {
+	defer r.lost.storeFaults.begin()()
 	r.store.SetMode(standin.Silent)
 	time.Sleep(d)
 	r.store.SetMode(standin.Serving)
 }
 
-// shed has a target turn some or all requests away for a while, and ask for rest.
+// shed makes a target reject requests and ask for a rest: all requests during the step, or the first
+// fewRefusals for an even Variant.
 func (r *run) shed(s Step) {
 	e := r.target(s).current()
-	defer r.harmOf(e.ID).begin()()
-	e.AskForRest(minRest + time.Duration(s.Fault)*time.Millisecond%(maxRest-minRest))
+	defer r.targetFaultsOf(e.ID).begin()()
+	e.AskForRest(minRest + time.Duration(s.Variant)*time.Millisecond%(maxRest-minRest))
 	count := -1
-	if s.Fault%2 == 0 {
+	if s.Variant%2 == 0 {
 		count = fewRefusals
 	}
 	e.SetFault(standin.Refuse, count)
@@ -89,13 +91,14 @@
 	e.SetFault(standin.None, 0)
 }
 
-// checkNotices checks what reached targets that had said that they leave or want rest.
-func (r *run) checkNotices() {
-	r.notices.mu.Lock()
-	defer r.notices.mu.Unlock()
+// checkAnnouncements checks the requests that reached targets after these had announced that they
+// leave or want a rest.
+func (r *run) checkAnnouncements() {
+	r.announcements.mu.Lock()
+	defer r.announcements.mu.Unlock()
 	arrivals := make(map[*process]map[string][]standin.Arrival)
 	for _, a := range r.journal.Arrivals() {
-		n, ok := r.notices.nodes[a.Request]
+		n, ok := r.announcements.nodes[a.Request]
 		if !ok {
 			continue
 		}
@@ -104,8 +107,8 @@
 		}
 		arrivals[n][a.Engine] = append(arrivals[n][a.Engine], a)
 	}
-	for _, t := range r.notices.told {
-		r.checkLeft(t, arrivals[t.node][t.engine])
+	for _, t := range r.announcements.leaving {
+		r.checkAfterLeave(t, arrivals[t.node][t.engine])
 	}
 	for n, engines := range arrivals {
 		for _, at := range engines {
@@ -114,9 +117,9 @@
 	}
 }
 
-// checkLeft checks what came to a target after it had said that it leaves, from the node
-// that had passed that on.
-func (r *run) checkLeft(t told, arrivals []standin.Arrival) {
+// checkAfterLeave checks the requests that a target got after its announcement that it leaves, from
+// the node that had passed it on. A node that was disrupted or restarted since is excused.
+func (r *run) checkAfterLeave(t leaveAnnouncement, arrivals []standin.Arrival) {
 	var born int64
 	for _, a := range arrivals {
 		if a.Request == t.request {
@@ -125,7 +128,7 @@
 	}
 	for _, a := range arrivals {
 		late := a.At.Sub(t.at)
-		if a.Born != born || late <= leaveBound || t.node.startedAnew(t.at, a.At) {
+		if a.Born != born || late <= leaveBound || t.node.interrupted(t.at, a.At) {
 			continue
 		}
 		r.checker.broken("request %s reached %s %v after %s had passed on that it leaves", a.Request, a.Engine, late, t.node.name)
@@ -133,7 +136,8 @@
 	}
 }
 
-// checkRests checks what came to a target while it rested, in the order of its coming.
+// checkRests checks the requests that a target got from node n during its rests. The arrivals are
+// ordered by time.
 func (r *run) checkRests(n *process, arrivals []standin.Arrival) {
 	for i, asked := range arrivals {
 		if asked.Rest == 0 {
@@ -146,14 +150,14 @@
 				meanwhile++
 			}
 		}
-		if meanwhile > restArrivals && !n.startedAnew(asked.At, to) {
+		if meanwhile > restArrivals && !n.interrupted(asked.At, to) {
 			r.checker.broken("request %s: %s asked %s for %v of rest and got %d requests meanwhile",
 				asked.Request, asked.Engine, n.name, asked.Rest, meanwhile)
 		}
 	}
 }
 
-// startedAnew says whether a node was stopped, killed, frozen or started in a time.
-func (p *process) startedAnew(from, to time.Time) bool {
-	return p.harmed.touches(from, to) || p.begun.touches(from, to) || p.asked.touches(from, to)
+// interrupted reports whether the node was stopped, killed, frozen or started between two times.
+func (p *process) interrupted(from, to time.Time) bool {
+	return p.disrupted.overlaps(from, to) || p.starts.overlaps(from, to) || p.stopSignals.overlaps(from, to)
 }
--- a/lab/soak/own.go
+++ b/lab/soak/own.go
@@ -22,7 +22,7 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// Names and sizes of the fleet of nodes with the callers' own interface.
+// Names and sizes of the fleet of nodes with the callers' own interface (knapweedgw serve).
 const (
 	ownRegion  = "region"
 	ownDomain  = "zone-0"
@@ -34,12 +34,12 @@
 	ownTokens  = 60
 	ownThink   = 30 * time.Millisecond
 	ownTries   = 8
-	// ownGrace is the time from SIGTERM to SIGKILL of a node that serves every
-	// request in progress to its end, however long that takes.
+	// ownGrace is the time from SIGTERM to SIGKILL. It is long because these nodes complete every
+	// request in progress, however long that takes, before they exit.
 	ownGrace = 30 * time.Second
 )
 
-// ownRun is a soak of nodes with the callers' own interface in progress.
+// ownRun is the state of one soak run of nodes with the callers' own interface.
 type ownRun struct {
 	Options
 	host     standin.Owner
@@ -82,7 +82,7 @@
 	if err := awaitReady(r.nodes, ownReady); err != nil {
 		r.report.broken("%v", err)
 	}
-	r.report.addOwnEnds(r.nodes)
+	r.report.addExits(r.nodes)
 	return r.report, nil
 }
 
@@ -148,7 +148,7 @@
 	})
 }
 
-// putSettings writes the settings of the fleet's only team, as its operator does.
+// putSettings writes the settings of the fleet's only team with the command that operators use.
 func (r *ownRun) putSettings() error {
 	raw, err := json.Marshal(map[string]any{
 		"models": map[string]any{ownModel: map[string]any{}}, "services": map[string]any{ownService: map[string]any{}},
@@ -188,7 +188,8 @@
 	return p
 }
 
-// ownReady asks a node as the platform's balancer does.
+// ownReady reports whether a node is ready: it accepts connections and /readyz returns 200, as the
+// platform's load balancer checks it.
 func ownReady(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -209,7 +210,7 @@
 	}
 }
 
-// load has callers send chats and notices, and adds what came of them.
+// load has callers send chats and notices, and adds the results to the report.
 func (r *ownRun) load(ctx context.Context) error {
 	r.cfg.Seed++
 	result, err := load.New(r.cfg).Run(ctx)
@@ -245,19 +246,19 @@
 		r.platform.SetFaults(platform.Faults{Outage: true})
 		time.Sleep(s.For)
 		r.platform.SetFaults(platform.Faults{})
-	case StoreDeaf:
+	case StoreWatchStall:
 		r.platform.SetFaults(platform.Faults{CompactNow: true, CutWatchesNow: true, LoseEvery: 2})
 		time.Sleep(s.For)
 		r.platform.SetFaults(platform.Faults{})
-	case TargetDoes:
+	case TargetFault:
 		e := r.services[s.Which%len(r.services)]
-		e.SetFaults(ownFaults[s.Fault%len(ownFaults)])
+		e.SetFaults(ownFaults[s.Variant%len(ownFaults)])
 		time.Sleep(s.For)
 		e.SetFaults(service.Faults{})
 	}
 }
 
-// ownFaults are what a service may do wrong.
+// ownFaults are the faults that a service may show.
 var ownFaults = []service.Faults{
 	{RefuseEvery: 2}, {DropEvery: 2}, {LoseEvery: 2}, {CutEvery: 2}, {DelayBeforeMS: 500}, {DelayMS: 500},
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak runs router nodes as real processes and injects faults from
-// outside them, by a seeded plan: signals, and proxies in front of the store and
-// of each target. It checks what must hold from what callers and targets see.
+// Package soak runs router nodes as real processes and injects faults from the outside according to
+// a seeded plan: signals, and network faults in proxies in front of the store and of each target. It
+// checks the promised behaviour against what callers receive and what targets record.
 package soak
 
 import (
@@ -9,70 +9,71 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
+// Kind is a kind of fault or of planned work, the action of a step.
 type Kind string
 
-// The kinds.
+// The kinds of steps.
 const (
-	Term       Kind = "term"     // SIGTERM, and a new process when it has ended
-	Kill       Kind = "kill"     // SIGKILL, and a new process
-	KillAll    Kind = "kill_all" // SIGKILL of all nodes at once
-	Freeze     Kind = "freeze"   // SIGSTOP, later SIGCONT
-	Hup        Kind = "hup"      // SIGHUP
-	CutStore   Kind = "cut_store"
-	CutTarget  Kind = "cut_target"
-	StoreBusy  Kind = "store_busy"
-	StoreDeaf  Kind = "store_deaf" // watches hear nothing, then the history is gone
-	TargetDoes Kind = "target_does"
-	Drain      Kind = "drain" // a target drains and leaves, another joins
-	Configure  Kind = "configure"
-	Retime     Kind = "retime" // routes get other timeouts
-	Revive     Kind = "revive" // a target crashes and starts again under its ID
-	Reuse      Kind = "reuse"  // a target's address goes to another service
-	Evacuate   Kind = "evacuate"
-	ColdReturn Kind = "cold_return" // a failure domain's targets end and others start, cold
-	// Leave has a target say in its answers that it leaves, while the store is silent and
-	// its entry says that it is ready.
-	Leave Kind = "leave"
-	// Shed has a target turn requests away and ask for rest.
+	Term            Kind = "term"     // SIGTERM, then a new process once the old one has exited
+	Kill            Kind = "kill"     // SIGKILL, then a new process
+	KillAll         Kind = "kill_all" // SIGKILL of all nodes at once, then new processes
+	Freeze          Kind = "freeze"   // SIGSTOP, later SIGCONT
+	Hup             Kind = "hup"      // SIGHUP, which reloads the settings
+	CutStore        Kind = "cut_store"
+	CutTarget       Kind = "cut_target"
+	StoreBusy       Kind = "store_busy"
+	StoreWatchStall Kind = "store_deaf" // watches deliver no events, then the history is compacted
+	TargetFault     Kind = "target_does"
+	Drain           Kind = "drain" // a target drains and is removed while another joins
+	Configure       Kind = "configure"
+	ChangeTimeout   Kind = "retime" // the timeouts of all routes change
+	RestartTarget   Kind = "revive" // a target crashes and restarts under the same ID
+	ReuseAddress    Kind = "reuse"  // a target's address is reused by a target of another service
+	Evacuate        Kind = "evacuate"
+	ReplaceDomain   Kind = "cold_return" // all targets of a failure domain end and others start, cold
+	// AnnounceLeave makes a target announce in its response headers that it leaves, while the
+	// store doesn't answer and the target's entry there still says "ready".
+	AnnounceLeave Kind = "leave"
+	// Shed makes a target reject requests and ask to receive none for a while.
 	Shed Kind = "shed"
 )
 
-// Profile is which kinds of steps a plan holds.
+// Profile selects the kinds of steps in a plan.
 type Profile string
 
 // The profiles.
 const (
-	// Mixed holds every kind.
+	// Mixed contains faults of every component and planned work.
 	Mixed Profile = "mixed"
-	// Planned holds planned work only, in which nothing may be lost.
+	// Planned contains planned work only; no request may be lost in it.
 	Planned Profile = "planned"
-	// Own plays nodes of the callers' own interface, on the laboratory's platform.
+	// Own runs nodes with the callers' own interface (knapweedgw serve, package gateway) on
+	// lab/platform, in place of router nodes (knapweedgw route) on lab/standin.
 	Own Profile = "own"
-	// Ending has callers that send a request which ends its targets again and again, at
-	// any node, while nodes end and start and the store is away.
+	// Ending sends copies of a request that terminates its targets to arbitrary nodes, while
+	// nodes restart and the store is unavailable.
 	Ending Profile = "ending"
-	// Evacuating has failure domains evacuated and come back cold, while nodes end and
-	// start and the store is away.
+	// Evacuating evacuates failure domains and replaces their targets by cold ones, while nodes
+	// restart and the store is unavailable.
 	Evacuating Profile = "evacuating"
-	// Announcing has targets that say in their answers that they leave or want rest, while
-	// nodes end and start and the store is away.
+	// Announcing has targets announce in their responses that they leave or want no requests for
+	// a while, while nodes restart and the store is unavailable.
 	Announcing Profile = "announcing"
 )
 
-var planned = []Kind{Term, Term, Hup, Drain, Configure, Retime}
+var planned = []Kind{Term, Term, Hup, Drain, Configure, ChangeTimeout}
 
 var mixed = append([]Kind{
-	Kill, KillAll, Freeze, CutStore, CutTarget, StoreBusy, StoreDeaf, TargetDoes, Revive, Reuse,
+	Kill, KillAll, Freeze, CutStore, CutTarget, StoreBusy, StoreWatchStall, TargetFault, RestartTarget, ReuseAddress,
 }, planned...)
 
-var own = []Kind{Term, Term, Kill, Freeze, StoreBusy, StoreDeaf, TargetDoes}
+var own = []Kind{Term, Term, Kill, Freeze, StoreBusy, StoreWatchStall, TargetFault}
 
-var ending = []Kind{Term, Kill, KillAll, Hup, CutStore, StoreBusy, StoreDeaf, Revive, Configure}
+var ending = []Kind{Term, Kill, KillAll, Hup, CutStore, StoreBusy, StoreWatchStall, RestartTarget, Configure}
 
-var evacuating = []Kind{Evacuate, Evacuate, ColdReturn, ColdReturn, Term, Kill, KillAll, Hup, CutStore, StoreBusy, StoreDeaf, Configure}
+var evacuating = []Kind{Evacuate, Evacuate, ReplaceDomain, ReplaceDomain, Term, Kill, KillAll, Hup, CutStore, StoreBusy, StoreWatchStall, Configure}
 
-var announcing = []Kind{Leave, Leave, Shed, Shed, Shed, Term, Kill, KillAll, Freeze, Hup, CutStore, StoreBusy, StoreDeaf, Revive, Configure}
+var announcing = []Kind{AnnounceLeave, AnnounceLeave, Shed, Shed, Shed, Term, Kill, KillAll, Freeze, Hup, CutStore, StoreBusy, StoreWatchStall, RestartTarget, Configure}
 
 func (p Profile) kinds() []Kind {
 	switch p {
@@ -103,43 +104,44 @@
 	At   time.Duration
 	For  time.Duration
 	Kind Kind
-	// Which picks the node or target, modulo their number.
-	Which int
-	Harm  Harm // of CutStore and CutTarget
-	// Fault picks the fault of TargetDoes, the timeout of Retime and what new
-	// targets are called.
-	Fault int
+	// Which selects the node or target, modulo their number.
+	Which    int
+	NetFault NetFault // used by CutStore and CutTarget
+	// Variant is a random number that selects the fault of TargetFault, the timeout of
+	// ChangeTimeout, how Drain, AnnounceLeave and Shed proceed, and the IDs of new targets.
+	Variant int
 }
 
-// String is one line of a report.
+// String returns the line of the step in a report.
 func (s Step) String() string {
 	return fmt.Sprintf("%6.2fs %-11s which=%d for=%.2fs harm=%s fault=%d",
-		s.At.Seconds(), s.Kind, s.Which, s.For.Seconds(), s.Harm, s.Fault)
+		s.At.Seconds(), s.Kind, s.Which, s.For.Seconds(), s.NetFault, s.Variant)
 }
 
-// Shape of a plan: faults come in series and overlap, and leave the last part
-// of a run calm, in which everything must be well again.
+// Shape of a plan: steps come in series and may overlap. The last part of a run is free of faults,
+// so that the fleet can recover.
 const (
 	meanPause = 600 * time.Millisecond
-	// longPause is that of Evacuating: what must hold of a domain that is evacuated does
-	// so some seconds after the last harm.
+	// longPause is the mean pause of Evacuating. What is checked of an evacuated domain holds only
+	// some seconds after the last fault, so faults must be further apart.
 	longPause  = 1500 * time.Millisecond
 	minFault   = 200 * time.Millisecond
 	maxFault   = 2500 * time.Millisecond
 	calmAtEnd  = 6 * time.Second
 	maxSteps   = 1000
 	whichRange = 1 << 16
-	// seriesPart is the part of steps that begin a series at the same node or
-	// target, seriesPause the mean pause within one, seriesEnd the part of its
-	// steps that are its last.
+	// seriesPart is the probability that a single step begins a series, whose steps all select the
+	// same node or target. seriesPause is the mean pause within a series, seriesEnd the probability
+	// that a step of a series is its last.
 	seriesPart  = 0.25
 	seriesPause = 60 * time.Millisecond
 	seriesEnd   = 0.35
 )
 
-var harms = []Harm{Delay, Reset, Silent, OneWay}
+var netFaults = []NetFault{Delay, Reset, Silent, OneWay}
 
-// NewPlan draws the plan of a seed for a run of the given length.
+// NewPlan returns the plan of a seed for a run of the given length. The same arguments give the same
+// plan.
 func NewPlan(seed uint64, length time.Duration, profile Profile) []Step {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	kinds := profile.kinds()
@@ -159,8 +161,8 @@
 		out = append(out, Step{
 			At: at, For: minFault + time.Duration(rng.Int64N(int64(maxFault-minFault))),
 			Kind: kinds[rng.IntN(len(kinds))], Which: which,
-			Harm:  harms[rng.IntN(len(harms))],
-			Fault: rng.IntN(whichRange),
+			NetFault: netFaults[rng.IntN(len(netFaults))],
+			Variant:  rng.IntN(whichRange),
 		})
 		end := seriesEnd
 		if !series {
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -7,64 +7,65 @@
 	"time"
 )
 
-// Harm is what a proxy does to the connections through it.
-type Harm string
+// NetFault is the fault that a proxy applies to its connections.
+type NetFault string
 
-// The harms of a proxy.
+// The network faults.
 const (
-	Pass Harm = "pass"
-	// Delay holds each read back for a while.
-	Delay Harm = "delay"
+	// Pass is no fault.
+	Pass NetFault = "pass"
+	// Delay delays the data of each read by proxyDelay.
+	Delay NetFault = "delay"
 	// Reset resets all connections and refuses new ones.
-	Reset Harm = "reset"
-	// Silent keeps connections open and passes nothing.
-	Silent Harm = "silent"
-	// OneWay passes requests and no answers.
-	OneWay Harm = "one_way"
+	Reset NetFault = "reset"
+	// Silent keeps connections open and forwards nothing.
+	Silent NetFault = "silent"
+	// OneWay forwards requests but no responses.
+	OneWay NetFault = "one_way"
 )
 
-// harmDelay is longer than a round trip within a region and shorter than the
-// time-outs of a node.
-const harmDelay = 120 * time.Millisecond
+// proxyDelay is longer than a round trip within a region and shorter than the timeouts of a node.
+const proxyDelay = 120 * time.Millisecond
 
-// Proxy passes TCP connections on to a target, and harms them on order.
+// Proxy forwards TCP connections to a target and can apply a fault to all of them.
 type Proxy struct {
 	addr string
 
-	mu     sync.Mutex
-	ln     net.Listener
-	target string
-	harm   Harm
-	conns  map[net.Conn]struct{}
-	wake   chan struct{} // closed at each change of harm
+	mu           sync.Mutex
+	ln           net.Listener
+	target       string
+	fault        NetFault
+	conns        map[net.Conn]struct{}
+	faultChanged chan struct{} // closed at each change of fault
 }
 
-// NewProxy listens on a free port of ip and passes connections on to target.
+// NewProxy listens on a free port of ip and forwards connections to target.
 func NewProxy(ip, target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{addr: ln.Addr().String(), target: target, ln: ln, harm: Pass, conns: make(map[net.Conn]struct{}), wake: make(chan struct{})}
+	p := &Proxy{addr: ln.Addr().String(), target: target, ln: ln, fault: Pass, conns: make(map[net.Conn]struct{}), faultChanged: make(chan struct{})}
 	go p.accept(ln)
 	return p, nil
 }
 
-// Addr is the ip:port of the proxy.
+// Addr returns the ip:port of the proxy.
 func (p *Proxy) Addr() string { return p.addr }
 
-// Leave has new connections refused, as a target does that has ended, until Return.
-func (p *Proxy) Leave() {
+// StopListening closes the listener, so that new connections are refused as if the target had
+// exited, until ResumeListening.
+func (p *Proxy) StopListening() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.ln.Close()
 }
 
-// Return takes connections again.
-func (p *Proxy) Return() error {
+// ResumeListening accepts connections again, on the same address.
+func (p *Proxy) ResumeListening() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.ln.Close() // another may have returned
+	_ = p.ln.Close() // another call may have opened it already
 	ln, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
@@ -74,14 +75,14 @@
 	return nil
 }
 
-// Set changes what happens to all connections.
-func (p *Proxy) Set(h Harm) {
+// SetFault changes the fault of all connections, also of those that are open.
+func (p *Proxy) SetFault(f NetFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = h
-	close(p.wake)
-	p.wake = make(chan struct{})
-	if h != Reset {
+	p.fault = f
+	close(p.faultChanged)
+	p.faultChanged = make(chan struct{})
+	if f != Reset {
 		return
 	}
 	for c := range p.conns {
@@ -89,7 +90,7 @@
 	}
 }
 
-// Redirect passes new connections on to another target.
+// Redirect forwards new connections to another target.
 func (p *Proxy) Redirect(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,15 +104,15 @@
 	return net.Dial("tcp", target)
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
-	p.Leave()
-	p.Set(Reset)
+	p.StopListening()
+	p.SetFault(Reset)
 }
 
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // closes with a reset
+		_ = t.SetLinger(0) // Close then sends a reset
 	}
 	_ = c.Close()
 }
@@ -128,7 +129,7 @@
 
 func (p *Proxy) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
-	if h, _ := p.state(); h == Reset {
+	if f, _ := p.currentFault(); f == Reset {
 		reset(in)
 		return
 	}
@@ -138,8 +139,8 @@
 		return
 	}
 	defer func() { _ = out.Close() }()
-	p.keep(in, out)
-	defer p.drop(in, out)
+	p.track(in, out)
+	defer p.untrack(in, out)
 	done := make(chan struct{})
 	go func() {
 		p.pipe(out, in, false)
@@ -149,7 +150,7 @@
 	<-done
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -157,7 +158,7 @@
 	}
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -165,19 +166,19 @@
 	}
 }
 
-func (p *Proxy) state() (Harm, <-chan struct{}) {
+func (p *Proxy) currentFault() (NetFault, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm, p.wake
+	return p.fault, p.faultChanged
 }
 
-// pipe copies from src to dst; answer says that it is the way back.
-func (p *Proxy) pipe(dst, src net.Conn, answer bool) {
+// pipe copies from src to dst. response is set for the direction from the target to the client.
+func (p *Proxy) pipe(dst, src net.Conn, response bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			p.hold(answer)
+			p.applyFault(response)
 			if _, werr := dst.Write(buf[:n]); werr != nil {
 				break
 			}
@@ -196,15 +197,15 @@
 	reset(src)
 }
 
-// hold waits as long as the harm of this way lasts.
-func (p *Proxy) hold(answer bool) {
+// applyFault delays or blocks according to the current fault of this direction.
+func (p *Proxy) applyFault(response bool) {
 	for {
-		h, changed := p.state()
+		f, changed := p.currentFault()
 		switch {
-		case h == Silent || h == OneWay && answer:
+		case f == Silent || f == OneWay && response:
 			<-changed
-		case h == Delay:
-			time.Sleep(harmDelay)
+		case f == Delay:
+			time.Sleep(proxyDelay)
 			return
 		default:
 			return
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -12,47 +12,48 @@
 	"github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// Options set a run.
+// Options configures a run.
 type Options struct {
 	Seed    uint64
 	Length  time.Duration
 	Nodes   int
 	Callers int
 	Profile Profile
-	// HalfClose adds callers that close their sending side behind a request,
-	// which a node can't tell from callers that leave.
+	// HalfClose adds callers that close their sending side after a request, which a node can't
+	// distinguish from callers that abort.
 	HalfClose bool
-	// Program is the path of knapweedgw.
+	// Program is the path of the knapweedgw binary.
 	Program string
-	// Dir takes settings and logs.
+	// Dir is the directory for the nodes' settings and logs.
 	Dir string
 }
 
-// run is a soak in progress.
+// run is the state of one soak run with router nodes (all profiles but Own).
 type run struct {
 	Options
-	host    standin.Owner
-	store   *standin.Store
-	journal *standin.Journal
-	nodes   []*process
-	checker *checker
-	lost    *lostRule
-	ends    *endsRule
-	domains *domainsRule
-	notices *noticesRule
-	// configuring orders the versions of the configuration.
-	configuring sync.Mutex
-	version     int
-	timeout     time.Duration
-	later       bool
+	host          standin.Owner
+	store         *standin.Store
+	journal       *standin.Journal
+	nodes         []*process
+	checker       *checker
+	lost          *lossCheck
+	ends          *endingCheck
+	domains       *domainCheck
+	announcements *announcementCheck
+	// configMu serializes writes of the configuration, so that versions are stored in order.
+	configMu   sync.Mutex
+	version    int
+	timeout    time.Duration
+	laterRoute bool
 
 	mu      sync.Mutex
 	targets []*target
-	// harms is the harm to each engine, by its ID.
-	harms map[string]*timeline
+	// targetFaults holds the times at which each engine was disrupted, by engine ID.
+	targetFaults map[string]*timeline
 }
 
-// Run runs one soak and reports it.
+// Run runs one soak and returns its report. The error is non-nil if the run can't be set up or
+// the nodes don't become ready.
 func Run(ctx context.Context, host standin.Owner, o Options) (*Report, error) {
 	if o.Profile == Own {
 		return runOwn(ctx, host, o)
@@ -87,12 +88,12 @@
 	play(ctx, report.Steps, r.step)
 	<-ctx.Done()
 	work.Wait()
-	r.checkCalm()
-	r.checker.settle()
+	r.checkRecovery()
+	r.checker.finish()
 	r.checkDomains()
-	r.checkNotices()
-	if ended, most := r.ends.count(); ended > most {
-		r.checker.broken("a request ended %d targets, %d allowed", ended, most)
+	r.checkAnnouncements()
+	if ended, limit := r.ends.count(); ended > limit {
+		r.checker.broken("a request ended %d targets, %d allowed", ended, limit)
 	}
 	r.addTraces()
 	return report, nil
@@ -101,12 +102,12 @@
 func newRun(host standin.Owner, o Options) (*run, error) {
 	r := &run{
 		Options: o, host: host, store: standin.NewStore(host), journal: standin.NewJournal(),
-		timeout: timeouts[0], harms: make(map[string]*timeline),
+		timeout: timeouts[0], targetFaults: make(map[string]*timeline),
 	}
-	r.ends = &endsRule{journal: r.journal, store: func(from, to time.Time) bool { return r.lost.core.touches(from, to) }}
-	r.domains = &domainsRule{evacuated: make(map[string]*timeline)}
-	r.notices = &noticesRule{nodes: make(map[string]*process)}
-	r.lost = &lostRule{journal: r.journal, targets: r.harmOf}
+	r.ends = &endingCheck{journal: r.journal, storeDisrupted: func(from, to time.Time) bool { return r.lost.storeFaults.overlaps(from, to) }}
+	r.domains = &domainCheck{evacuated: make(map[string]*timeline)}
+	r.announcements = &announcementCheck{nodes: make(map[string]*process)}
+	r.lost = &lossCheck{journal: r.journal, targetFaults: r.targetFaultsOf}
 	r.checker = newChecker(r.journal, o.Seed, r.lost)
 	r.configure(func() {})
 	for i := range 3 {
@@ -128,15 +129,15 @@
 }
 
 func (r *run) newCaller(i uint64) *caller {
-	known := uint64(halfClosing)
+	modes := uint64(halfClosing)
 	if r.HalfClose {
-		known++
+		modes++
 	}
 	return &caller{
-		nodes: r.nodes, rng: rand.New(rand.NewPCG(r.Seed, i)), habit: habit(i % known),
-		note: func(x *exchange) {
-			r.checker.note(x)
-			r.notices.note(x)
+		nodes: r.nodes, rng: rand.New(rand.NewPCG(r.Seed, i)), mode: mode(i % modes),
+		observe: func(x *exchange) {
+			r.checker.observe(x)
+			r.announcements.observe(x)
 		},
 	}
 }
@@ -150,16 +151,16 @@
 	}
 }
 
-// recovery is how long a fleet may take to be well again after all harm has
-// ended; no verdict is as fast as that on a machine with time to spare.
-const recovery = 30 * time.Second
+// recoveryTimeout is how long a fleet may take to serve again after the last fault. An unloaded
+// machine needs much less.
+const recoveryTimeout = 30 * time.Second
 
 func awaitReady(nodes []*process, isReady func(addr string) bool) error {
-	deadline := time.Now().Add(recovery)
+	deadline := time.Now().Add(recoveryTimeout)
 	for _, n := range nodes {
 		for !isReady(n.ready) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s is not ready after %v; see %s", n.name, recovery, n.logs)
+				return fmt.Errorf("%s is not ready after %v; see %s", n.name, recoveryTimeout, n.logs)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// play carries out the steps of a plan. They overlap.
+// play starts each step of a plan at its time and returns when all have ended. Steps may overlap.
 func play(ctx context.Context, steps []Step, do func(Step)) {
 	begun := time.Now()
 	var work sync.WaitGroup
@@ -182,16 +183,16 @@
 	}
 }
 
-// checkCalm checks after the calm end of a run that every node serves, with the
-// newest configuration.
-func (r *run) checkCalm() {
-	r.configure(func() { r.later, r.timeout = true, timeouts[0] })
+// checkRecovery checks, after the fault-free end of a run, that every node serves with the newest
+// configuration.
+func (r *run) checkRecovery() {
+	r.configure(func() { r.laterRoute, r.timeout = true, timeouts[0] })
 	for _, n := range r.nodes {
 		if !r.eventually(func() bool { return r.servesAll(n) }) {
-			r.checker.broken("%s does not serve with the newest configuration %v after all harm has ended", n.name, recovery)
+			r.checker.broken("%s does not serve with the newest configuration %v after all harm has ended", n.name, recoveryTimeout)
 		}
 	}
-	r.checker.report.addOwnEnds(r.nodes)
+	r.checker.report.addExits(r.nodes)
 }
 
 func (r *run) servesAll(n *process) bool {
@@ -205,7 +206,7 @@
 }
 
 func (r *run) eventually(f func() bool) bool {
-	for deadline := time.Now().Add(recovery); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if f() {
 			return true
 		}
@@ -213,7 +214,7 @@
 	return false
 }
 
-// addTraces adds what the nodes logged of each request that is reported.
+// addTraces appends the nodes' log lines to each report line that names a request.
 func (r *run) addTraces() {
 	for _, lines := range [][]string{r.checker.report.Broken, r.checker.report.Findings} {
 		for i, line := range lines {
@@ -222,7 +223,7 @@
 	}
 }
 
-// trace returns what the nodes logged of the request that a line names.
+// trace returns the nodes' log lines for the request that a report line names.
 func (r *run) trace(line string) string {
 	_, rest, ok := strings.Cut(line, "request ")
 	if !ok {
@@ -241,7 +242,7 @@
 	return out.String()
 }
 
-// logs returns what a node wrote.
+// logs returns the contents of a node's log file, or the error text if it can't be read.
 func logs(n *process) string {
 	raw, err := os.ReadFile(n.logs)
 	if err != nil {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -35,7 +35,8 @@
 	return m.Run()
 }
 
-// Lengths of the runs in CI, about two minutes together; their last part is calm.
+// Lengths of the runs in CI, which take about two minutes together. The last part of each run is
+// free of faults.
 const (
 	mixLength  = 14 * time.Second
 	seedLength = 20 * time.Second
@@ -43,8 +44,7 @@
 	evacuateLength = 30 * time.Second
 )
 
-// shortRuns are the usual mix, and each seed that ever broke a promise, with its
-// cause.
+// shortRuns holds runs of the profiles, and each seed that once broke a promise, named by the cause.
 var shortRuns = map[string]Options{
 	"usual mix":                  {Seed: 1, Profile: Mixed, Nodes: 4, Callers: 12, Length: mixLength},
 	"a request ends its targets": {Seed: 2, Profile: Ending, Nodes: 4, Callers: 12, Length: mixLength},
@@ -68,17 +68,18 @@
 
 func TestShortSoak(t *testing.T) {
 	for name, o := range shortRuns {
-		t.Run(name, func(t *testing.T) { keepsPromises(t, o) })
+		t.Run(name, func(t *testing.T) { runSoak(t, o) })
 	}
 }
 
-// Failure domains are evacuated and come back cold.
+// Guards evacuated failure domains against late requests, and cold targets that replace a whole
+// domain against more requests than they can bear.
 func TestShortSoakOfEvacuations(t *testing.T) {
-	keepsPromises(t, Options{Seed: 1, Profile: Evacuating, Nodes: 4, Callers: 40, Length: evacuateLength})
+	runSoak(t, Options{Seed: 1, Profile: Evacuating, Nodes: 4, Callers: 40, Length: evacuateLength})
 }
 
-// keepsPromises runs a soak and fails the test for each broken promise.
-func keepsPromises(t *testing.T, o Options) {
+// runSoak runs a soak and fails the test for each broken promise.
+func runSoak(t *testing.T, o Options) {
 	t.Helper()
 	o.Program, o.Dir = program, t.TempDir()
 	report, err := Run(t.Context(), t, o)
@@ -109,7 +110,7 @@
 	}
 }
 
-func TestProxyHarms(t *testing.T) {
+func TestProxyFaults(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	defer func() { _ = ln.Close() }()
@@ -122,8 +123,8 @@
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	for harm, answered := range map[Harm]bool{Pass: true, Delay: true, Reset: false, Silent: false, OneWay: false} {
-		t.Run(string(harm), func(t *testing.T) {
+	for fault, answered := range map[NetFault]bool{Pass: true, Delay: true, Reset: false, Silent: false, OneWay: false} {
+		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			p, err := NewProxy("127.0.0.1", ln.Addr().String())
 			is.NoErr(err)
@@ -136,16 +137,17 @@
 			is.NoErr(err)
 			_, err = io.ReadFull(c, echo)
 			is.NoErr(err)
-			p.Set(harm)
+			p.SetFault(fault)
 			_, _ = c.Write([]byte("ho"))
-			is.NoErr(c.SetReadDeadline(time.Now().Add(3 * harmDelay)))
+			is.NoErr(c.SetReadDeadline(time.Now().Add(3 * proxyDelay)))
 			_, err = io.ReadFull(c, echo)
 			is.Equal(err == nil, answered)
 		})
 	}
 }
 
-// Steps overlap: two that restart the same node leave one program running.
+// Steps overlap, so several may restart the same node at once. Exactly one program must be left
+// running, because stop kills only the one that was started last.
 func TestOverlappingRestartsLeaveOneProgram(t *testing.T) {
 	is := is.New(t)
 	p, err := newProcess(t.TempDir(), program, t, standin.NewStore(t), 0, 0, 1, peerPort(t))
--- a/lab/soak/steps.go
+++ b/lab/soak/steps.go
@@ -9,11 +9,11 @@
 	"github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// target is an engine or plain server behind a proxy.
+// target is an engine or a server of a plain service, behind a proxy.
 type target struct {
 	proxy *Proxy
-	// replacing orders the steps that put another engine behind the proxy.
-	replacing sync.Mutex
+	// replaceMu serializes the steps that start another engine behind the proxy.
+	replaceMu sync.Mutex
 
 	mu     sync.Mutex
 	engine *standin.Engine
@@ -25,11 +25,11 @@
 	return t.engine
 }
 
-// put starts a new engine behind the proxy.
-func (t *target) put(r *run, id, service, zone string) {
+// start starts a new engine behind the proxy and adds it to the store.
+func (t *target) start(r *run, id, service, zone string) {
 	e := standin.NewEngine(r.host, id, service, zone, r.journal)
 	e.Pace, e.StallFor, e.Public = enginePace, stallTime, t.proxy.Addr()
-	e.OnEnd = func() { r.noteEnd(t, e) }
+	e.OnEnd = func() { r.targetEnded(t, e) }
 	if r.domains.cold() {
 		e.ColdFor, e.ColdPerSecond = coldFor, coldBound
 	}
@@ -44,11 +44,11 @@
 const (
 	// enginePace is the pause between two events of a stream.
 	enginePace = 15 * time.Millisecond
-	// stallTime is how long an engine that stalls does nothing.
+	// stallTime is how long a stalled engine makes no progress.
 	stallTime = grace * time.Second
 )
 
-// engineFaults are all that an engine may do wrong, stalls included.
+// engineFaults are all faults that an engine may show, stalls included.
 var engineFaults = append([]standin.Fault{standin.HeaderOnly, standin.Stall, standin.LateEnd}, standin.Faults...)
 
 func (r *run) addTarget(id, service string, zone int) error {
@@ -57,7 +57,7 @@
 		return err
 	}
 	t := &target{proxy: proxy}
-	t.put(r, id, service, fmt.Sprint("zone-", zone%3))
+	t.start(r, id, service, fmt.Sprint("zone-", zone%3))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.targets = append(r.targets, t)
@@ -70,14 +70,14 @@
 	return r.targets[s.Which%len(r.targets)]
 }
 
-// harmOf returns the harm to an engine.
-func (r *run) harmOf(id string) *timeline {
+// targetFaultsOf returns the times at which an engine was disrupted.
+func (r *run) targetFaultsOf(id string) *timeline {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t, ok := r.harms[id]
+	t, ok := r.targetFaults[id]
 	if !ok {
 		t = &timeline{}
-		r.harms[id] = t
+		r.targetFaults[id] = t
 	}
 	return t
 }
@@ -95,28 +95,28 @@
 		n.freeze(s.For)
 	case Hup:
 		n.signal(syscall.SIGHUP)
-	case CutStore, StoreBusy, StoreDeaf:
-		r.harmStore(n, s)
-	case CutTarget, TargetDoes:
-		r.harmTarget(s)
+	case CutStore, StoreBusy, StoreWatchStall:
+		r.disruptStore(n, s)
+	case CutTarget, TargetFault:
+		r.disruptTarget(s)
 	case Drain:
 		r.drain(s)
-	case Revive:
-		r.revive(r.target(s), s)
-	case Reuse:
-		r.reuse(r.target(s), s)
+	case RestartTarget:
+		r.restartTarget(r.target(s), s)
+	case ReuseAddress:
+		r.reuseAddress(r.target(s), s)
 	case Evacuate:
 		r.evacuate(s)
-	case ColdReturn:
-		r.coldReturn(s)
-	case Leave:
-		r.leave(s)
+	case ReplaceDomain:
+		r.replaceDomain(s)
+	case AnnounceLeave:
+		r.announceLeave(s)
 	case Shed:
 		r.shed(s)
 	case Configure:
-		r.configure(func() { r.later = s.Which%2 == 0 })
-	case Retime:
-		r.configure(func() { r.timeout = timeouts[s.Fault%len(timeouts)] })
+		r.configure(func() { r.laterRoute = s.Which%2 == 0 })
+	case ChangeTimeout:
+		r.configure(func() { r.timeout = timeouts[s.Variant%len(timeouts)] })
 	}
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (r *run) killAll() {
-	r.ends.killsAll()
+	r.ends.allowKillAll()
 	var work sync.WaitGroup
 	defer work.Wait()
 	for _, n := range r.nodes {
@@ -135,9 +135,9 @@
 	}
 }
 
-// harmStore harms the store for all nodes or cuts one node off it.
-func (r *run) harmStore(n *process, s Step) {
-	defer r.lost.core.begin()()
+// disruptStore makes the store faulty for all nodes, or the connections of one node to it.
+func (r *run) disruptStore(n *process, s Step) {
+	defer r.lost.storeFaults.begin()()
 	switch s.Kind {
 	case CutStore:
 		r.cut(n.store, s)
@@ -145,7 +145,7 @@
 		r.store.SetMode(standin.Busy)
 		time.Sleep(s.For)
 		r.store.SetMode(standin.Serving)
-	case StoreDeaf:
+	case StoreWatchStall:
 		r.store.SetDeaf(true)
 		time.Sleep(s.For)
 		r.store.Compact()
@@ -154,49 +154,50 @@
 }
 
 func (r *run) cut(p *Proxy, s Step) {
-	p.Set(s.Harm)
+	p.SetFault(s.NetFault)
 	time.Sleep(s.For)
-	p.Set(Pass)
+	p.SetFault(Pass)
 }
 
-// harmTarget harms the way to a target or has it misbehave.
-func (r *run) harmTarget(s Step) {
+// disruptTarget makes the connections to a target faulty or the target itself.
+func (r *run) disruptTarget(s Step) {
 	t := r.target(s)
 	e := t.current()
-	defer r.harmOf(e.ID).begin()()
+	defer r.targetFaultsOf(e.ID).begin()()
 	if s.Kind == CutTarget {
 		r.cut(t.proxy, s)
 		return
 	}
-	e.SetFault(engineFaults[s.Fault%len(engineFaults)], -1)
+	e.SetFault(engineFaults[s.Variant%len(engineFaults)], -1)
 	time.Sleep(s.For)
 	e.SetFault(standin.None, 0)
 }
 
-// drainTime is how long a leaving target serves on.
+// drainTime is how long a draining target keeps serving.
 const drainTime = 2 * time.Second
 
-// replacement returns the ID of a target that joins for another.
-func replacement(e *standin.Engine, s Step) string { return fmt.Sprintf("%s-%d", e.ID, s.Fault) }
+// replacementID returns the ID of the target that replaces e.
+func replacementID(e *standin.Engine, s Step) string { return fmt.Sprintf("%s-%d", e.ID, s.Variant) }
 
-// drain has a target say that it leaves, or only vanish, while another joins.
+// drain removes a target from the store while another joins. For an even Variant the target drains
+// first; otherwise it is removed without notice.
 func (r *run) drain(s Step) {
 	t := r.target(s)
 	e := t.current()
-	r.must(r.addTarget(replacement(e, s), e.Service, s.Which))
-	if s.Fault%2 == 0 {
+	r.must(r.addTarget(replacementID(e, s), e.Service, s.Which))
+	if s.Variant%2 == 0 {
 		r.store.Put("servers/"+e.ID, e.Entry("draining"))
 		time.Sleep(drainTime)
 	}
 	r.store.Remove("servers/" + e.ID)
 }
 
-// revive has a target crash and start again under its ID.
-func (r *run) revive(t *target, s Step) {
-	t.replacing.Lock()
-	defer t.replacing.Unlock()
+// restartTarget crashes a target and starts it again under the same ID.
+func (r *run) restartTarget(t *target, s Step) {
+	t.replaceMu.Lock()
+	defer t.replaceMu.Unlock()
 	e := t.current()
-	defer r.harmOf(e.ID).begin()()
+	defer r.targetFaultsOf(e.ID).begin()()
 	e.Crash()
 	time.Sleep(s.For)
 	e.Move()
@@ -204,14 +205,14 @@
 	r.store.Put("servers/"+e.ID, e.Entry("ready"))
 }
 
-// reuse has a target crash and its address go to an engine of the other service,
-// while another joins in its place.
-func (r *run) reuse(t *target, s Step) {
-	t.replacing.Lock()
-	defer t.replacing.Unlock()
+// reuseAddress crashes a target and starts an engine of the other service at its address, while
+// another target joins in its place.
+func (r *run) reuseAddress(t *target, s Step) {
+	t.replaceMu.Lock()
+	defer t.replaceMu.Unlock()
 	e := t.current()
-	defer r.harmOf(e.ID).begin()()
-	id := replacement(e, s)
+	defer r.targetFaultsOf(e.ID).begin()()
+	id := replacementID(e, s)
 	r.must(r.addTarget(id, e.Service, s.Which))
 	e.Crash()
 	r.store.Remove("servers/" + e.ID)
@@ -220,20 +221,21 @@
 	if e.Service == other {
 		other = standin.ServicePool
 	}
-	t.put(r, id+"-reuse", other, e.Zone)
+	t.start(r, id+"-reuse", other, e.Zone)
 }
 
-// timeouts are those that routes have, the first in the beginning and the end.
+// timeouts are the timeouts that routes may have. The first one is in force at the beginning and at
+// the end of a run.
 var timeouts = []time.Duration{4 * time.Second, 1500 * time.Millisecond, 8 * time.Second}
 
-// configure writes the next configuration after a change of what it holds.
+// configure applies change to the run and writes the next version of the configuration.
 func (r *run) configure(change func()) {
-	r.configuring.Lock()
-	defer r.configuring.Unlock()
+	r.configMu.Lock()
+	defer r.configMu.Unlock()
 	change()
 	r.version++
 	changes := []func(map[string]any){}
-	if r.later {
+	if r.laterRoute {
 		changes = append(changes, standin.AddRoute)
 	}
 	changes = append(changes, r.setTimeouts)
@@ -241,7 +243,7 @@
 		changes = append(changes, limitCold)
 	}
 	r.lost.timeouts.set(r.timeout)
-	defer r.lost.configs.begin()()
+	defer r.lost.configChanges.begin()()
 	r.store.Put("op/config", standin.Config(r.version, changes...))
 }
 
--- a/lab/soak/timeline.go
+++ b/lab/soak/timeline.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// timeline holds when something happened to a part of the run.
+// timeline records when something happened, as spans of time. The zero value is empty.
 type timeline struct {
 	mu    sync.Mutex
 	spans []*span
 }
 
-// span is a time, without an end while it lasts.
+// span is a time span; to is zero while it lasts.
 type span struct{ from, to time.Time }
 
-// mark notes a moment.
+// mark records the current time as a span without length.
 func (t *timeline) mark() { t.begin()() }
 
-// begin notes the beginning of a time, which lasts until end is called.
+// begin records the start of a span, which lasts until end is called.
 func (t *timeline) begin() (end func()) {
 	s := &span{from: time.Now()}
 	t.mu.Lock()
@@ -30,14 +30,14 @@
 	}
 }
 
-// add notes a time that has ended.
+// add records a span that has ended.
 func (t *timeline) add(from, to time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.spans = append(t.spans, &span{from: from, to: to})
 }
 
-// total is how long the times noted lasted together.
+// total returns the summed length of all spans.
 func (t *timeline) total() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,8 +48,8 @@
 	return sum
 }
 
-// touches says whether any time noted has a moment from from to to.
-func (t *timeline) touches(from, to time.Time) bool {
+// overlaps reports whether any span overlaps the closed interval from from to to.
+func (t *timeline) overlaps(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.spans {
@@ -60,7 +60,8 @@
 	return false
 }
 
-// last returns the beginning of the last time that began before at.
+// last returns the start of the latest span that started no later than at. ok is false if there is
+// none.
 func (t *timeline) last(at time.Time) (from time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
