--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -5,15 +5,16 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// tokensPerByte is how the stand-in counts prompt tokens.
+// bytesPerToken is the number of bytes of message content that the stand-in counts as one prompt
+// token.
 const bytesPerToken = 4
 
-// prefixCache holds message prefixes of chats up to a number of tokens and
-// evicts the least recently used.
+// prefixCache caches chat prefixes, one entry per message, up to a number of tokens. It evicts
+// the least recently used entry.
 type prefixCache struct {
-	capacity int // tokens
-	used     int
-	entries  *lru.Cache[uint64, int] // prefix hash to the tokens its last message adds
+	capacity int                     // tokens
+	used     int                     // tokens of all entries
+	entries  *lru.Cache[uint64, int] // prefix hash to the tokens that its last message adds
 }
 
 func newPrefixCache(capacity int) *prefixCache {
@@ -22,8 +23,8 @@
 	return c
 }
 
-// prefixes returns for each message the hash of the chat up to it and the
-// tokens it adds.
+// prefixes returns, for each message, the hash of the chat up to and including it and the number
+// of tokens that it adds.
 func prefixes(messages []Message) ([]uint64, []int) {
 	hashes := make([]uint64, len(messages))
 	tokens := make([]int, len(messages))
@@ -36,7 +37,7 @@
 	return hashes, tokens
 }
 
-// match returns how many prompt tokens are cached, and all of them.
+// match returns the number of prompt tokens in the longest cached prefix and in the whole prompt.
 func (c *prefixCache) match(hashes []uint64, tokens []int) (cached, total int) {
 	hit := true
 	for i, h := range hashes {
@@ -50,6 +51,7 @@
 	return cached, total
 }
 
+// insert adds all prefixes of a chat and evicts entries until the cache is within its capacity.
 func (c *prefixCache) insert(hashes []uint64, tokens []int) {
 	for i, h := range hashes {
 		if c.entries.Contains(h) {
--- a/lab/engine/client_test.go
+++ b/lab/engine/client_test.go
@@ -18,12 +18,13 @@
 	"github.com/knapweedgw/knapweedgw/lab/engine"
 )
 
-// fleet is engines behind one node, asked through a well-known client.
+// fleet is a set of engines behind one node, called through the OpenAI client library.
 type fleet struct {
 	engines []*engine.Engine
 	client  openai.Client
 }
 
+// newFleet starts one engine for each of faults and one node that routes to them.
 func newFleet(t *testing.T, faults ...engine.Faults) *fleet {
 	t.Helper()
 	f := &fleet{}
@@ -53,6 +54,7 @@
 	return f
 }
 
+// runs returns the number of generations that the engines started.
 func (f *fleet) runs() int {
 	n := 0
 	for _, e := range f.engines {
@@ -71,10 +73,12 @@
 	}
 }
 
+// want returns the answer to params.
 func want() string {
 	return strings.Join(engine.Answer([]engine.Message{{Role: "user", Content: prompt}}, 12), "")
 }
 
+// stream sends a streaming request and returns the content of all events.
 func (f *fleet) stream(p openai.ChatCompletionNewParams) (string, error) {
 	s := f.client.Chat.Completions.NewStreaming(context.Background(), p)
 	defer func() { _ = s.Close() }()
@@ -87,6 +91,7 @@
 	return got.String(), s.Err()
 }
 
+// TestClientUnstreamed checks a chat completion without streaming and the list of models.
 func TestClientUnstreamed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, engine.Faults{})
@@ -99,7 +104,8 @@
 	is.Equal(models.Data[0].ID, bench.Model)
 }
 
-// Whatever one of two engines does wrong, the client gets its whole answer.
+// TestClientStreamed checks that the client gets the complete answer from one generation when a
+// stream is cut or one of two engines is overloaded.
 func TestClientStreamed(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -123,7 +129,8 @@
 	}
 }
 
-// Refusals reach the client as its error type, with status, code and message.
+// TestClientErrors checks that the client library decodes refusals into its error type, with
+// status, code and message.
 func TestClientErrors(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -156,8 +163,10 @@
 	}
 }
 
-// A client that retries by itself is kept from repeating what may have run.
-func TestClientDoesNotRepeatUnknown(t *testing.T) {
+// TestClientDoesNotRetryUnknownOutcome checks that the client library, which retries by default,
+// doesn't repeat a request that the engine may have run: the engine closes the connection without
+// a response.
+func TestClientDoesNotRetryUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	var requests atomic.Int32
 	addr, stop, err := bench.Serve(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine: continuous batching with a
-// step time, a bounded prefix cache, priorities, resumable and cancelable
-// streams, and switches that make it fail. It counts what it ran.
+// Package engine is a stand-in for a model engine in tests and measurements. It has continuous
+// batching with a fixed step time, a bounded prefix cache, priorities, resumable and cancelable
+// streams, and switches that inject faults. It counts the generations that it started.
 package engine
 
 import (
@@ -20,82 +20,85 @@
 	Content string `json:"content"`
 }
 
-// Config sets an engine's size and speed.
+// Config is an engine's size and speed.
 type Config struct {
 	ID          string
 	Step        time.Duration // time to generate one token for the whole batch
-	Batch       int           // most sequences generated at a time
+	Batch       int           // most generations that run at a time
 	CacheTokens int           // size of the prefix cache
-	PrefillRate int           // uncached prompt tokens a second
-	Hold        time.Duration // how long a finished generation can be resumed
-	Incarnation int64         // as in the VM list
+	PrefillRate int           // uncached prompt tokens processed per second
+	Hold        time.Duration // how long a finished generation stays resumable
+	Incarnation int64         // the engine's incarnation in the VM list
 }
 
-// Faults are the engine's fault switches; the zero value is a healthy one.
+// Faults are the engine's fault switches; the zero value injects none.
 type Faults struct {
-	// CutAfter cuts each stream after that many tokens, once a request.
+	// CutAfter closes the connection of each new stream after that many tokens; a resumed stream
+	// isn't cut again.
 	CutAfter int `json:"cut_after"`
-	// Overload refuses each n-th request with 503 before it runs.
+	// Overload refuses every n-th request with status 503 before it runs.
 	Overload int `json:"overload"`
-	// HiddenOverload answers each n-th request with 200 and an overload
-	// error inside the stream, after harmless opening events.
+	// HiddenOverload answers every n-th request with status 200, events without content and then an
+	// overload error inside the stream, or with status 503 if the request isn't for a stream.
 	HiddenOverload int `json:"hidden_overload"`
-	// Leaving announces on every answer that the engine is leaving.
+	// Leaving sets the response header that announces that the engine is shutting down.
 	Leaving bool `json:"leaving"`
-	// ReportLagMS is how old the reported load is.
+	// ReportLagMS is the age of the reported load in milliseconds.
 	ReportLagMS int `json:"report_lag_ms"`
 }
 
-// Engine runs generations.
+// Engine runs generations and serves them over HTTP.
 type Engine struct {
 	cfg    Config
-	orders *Orders
+	orders *OrderServer
 
 	mu      sync.Mutex
 	cache   *prefixCache
 	waiting []*sequence
 	running []*sequence
-	held    map[string]*sequence
-	runs    map[string]int
-	faults  Faults
-	seen    int
+	// resumable holds, by generation ID, those that can still be read or canceled.
+	resumable map[string]*sequence
+	runs      map[string]int // generations started, by the caller's request ID
+	faults    Faults
+	requests  int // requests received, for the switches that affect every n-th
 	// canceled counts generations canceled before their end.
 	canceled int
-	reports  []report
+	reports  []report // load after each step, oldest first
 
 	load loadIntegral
 }
 
+// report is the load at a time.
 type report struct {
 	at       time.Time
 	inFlight int
 }
 
-// sequence is one generation. Its tokens are known from the start and become
-// visible one a step.
+// sequence is one generation. Its tokens are computed at the start; each step makes one more
+// visible.
 type sequence struct {
 	id       string
-	urgency  int
-	answer   []string
-	cached   int
-	prompt   int
-	hashes   []uint64
-	tokens   []int
-	readyAt  time.Time
-	visible  int
+	urgency  int       // 0 runs first
+	answer   []string  // tokens
+	cached   int       // prompt tokens found in the prefix cache
+	prompt   int       // prompt tokens
+	hashes   []uint64  // prefix hashes of the chat with the answer
+	tokens   []int     // tokens of each message of the chat with the answer
+	readyAt  time.Time // end of prefill
+	visible  int       // tokens generated so far
 	canceled bool
-	readers  int           // streams attached
+	readers  int           // connections that read the answer
 	progress chan struct{} // closed and replaced at each step
 }
 
-// New returns an engine; Run must be called for it to generate.
+// New returns an engine. It generates no tokens until Run is called.
 func New(cfg Config) *Engine {
 	return &Engine{
-		cfg:    cfg,
-		orders: NewOrders(cfg.Incarnation),
-		cache:  newPrefixCache(cfg.CacheTokens),
-		held:   make(map[string]*sequence),
-		runs:   make(map[string]int),
+		cfg:       cfg,
+		orders:    NewOrderServer(cfg.Incarnation),
+		cache:     newPrefixCache(cfg.CacheTokens),
+		resumable: make(map[string]*sequence),
+		runs:      make(map[string]int),
 	}
 }
 
@@ -113,10 +116,11 @@
 	}
 }
 
+// step starts waiting generations, generates one token for each running one and records the load.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admit()
+	e.startWaiting()
 	for _, s := range e.running {
 		if now.Before(s.readyAt) {
 			continue
@@ -132,7 +136,8 @@
 	e.reports = e.reports[max(0, len(e.reports)-keep):]
 }
 
-func (e *Engine) admit() {
+// startWaiting moves waiting generations into the batch by urgency, up to its size.
+func (e *Engine) startWaiting() {
 	e.waiting = slices.DeleteFunc(e.waiting, func(s *sequence) bool { return s.canceled })
 	slices.SortStableFunc(e.waiting, func(a, b *sequence) int { return a.urgency - b.urgency })
 	n := min(e.cfg.Batch-len(e.running), len(e.waiting))
@@ -145,6 +150,8 @@
 	e.waiting = slices.Clone(e.waiting[n:])
 }
 
+// finished reports whether a generation leaves the batch. The prefixes of a complete one enter the
+// cache.
 func (e *Engine) finished(s *sequence) bool {
 	if s.canceled {
 		return true
@@ -153,11 +160,11 @@
 		return false
 	}
 	e.cache.insert(s.hashes, s.tokens)
-	time.AfterFunc(e.cfg.Hold, func() { e.forget(s) })
+	time.AfterFunc(e.cfg.Hold, func() { e.expire(s) })
 	return true
 }
 
-// start begins a generation and counts the run.
+// start queues a generation and counts it as a run of its request.
 func (e *Engine) start(id string, urgency int, messages []Message, maxTokens int) *sequence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -170,12 +177,12 @@
 		hashes: hashes, tokens: tokens, readers: 1, progress: make(chan struct{}),
 	}
 	e.waiting = append(e.waiting, s)
-	e.held[id] = s
+	e.resumable[id] = s
 	return s
 }
 
-// requestID returns the caller's request ID, to which the gateway adds a
-// suffix for each generation.
+// requestID returns the caller's request ID of a generation ID, which is the request ID and a
+// suffix that the gateway appends for each generation.
 func requestID(generation string) string {
 	if i := strings.LastIndexByte(generation, '~'); i >= 0 {
 		return generation[:i]
@@ -183,77 +190,82 @@
 	return generation
 }
 
-func (e *Engine) forget(s *sequence) {
+// expire makes a generation no longer resumable.
+func (e *Engine) expire(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.held[s.id] == s {
-		delete(e.held, s.id)
+	if e.resumable[s.id] == s {
+		delete(e.resumable, s.id)
 	}
 }
 
+// resume adds a reader to a generation. It returns false if there is no resumable one with this ID.
 func (e *Engine) resume(id string) (*sequence, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s, ok := e.held[id]
+	s, ok := e.resumable[id]
 	if ok {
 		s.readers++
 	}
 	return s, ok
 }
 
-// detach notes that a reader went away; the generation is canceled unless
-// another reader comes within hold.
+// detach removes a reader. A generation without readers is canceled after hold, unless another
+// reader resumes it before.
 func (e *Engine) detach(s *sequence, hold time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
 	if hold <= 0 {
-		e.cancelIfUnread(s)
+		e.cancelIfNoReaders(s)
 		return
 	}
 	time.AfterFunc(hold, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.cancelIfUnread(s)
+		e.cancelIfNoReaders(s)
 	})
 }
 
-func (e *Engine) cancelIfUnread(s *sequence) {
+// cancelIfNoReaders cancels an incomplete generation without readers. The caller holds e.mu.
+func (e *Engine) cancelIfNoReaders(s *sequence) {
 	if s.readers == 0 && s.visible < len(s.answer) {
 		e.cancelLocked(s)
 	}
 }
 
+// cancel cancels the generation; it returns false if there is none with this ID.
 func (e *Engine) cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s, ok := e.held[id]
+	s, ok := e.resumable[id]
 	if ok {
 		e.cancelLocked(s)
 	}
 	return ok
 }
 
+// cancelLocked cancels a generation. The caller holds e.mu.
 func (e *Engine) cancelLocked(s *sequence) {
 	if !s.canceled && s.visible < len(s.answer) {
 		e.canceled++
 	}
 	s.canceled = true
-	if e.held[s.id] == s {
-		delete(e.held, s.id)
+	if e.resumable[s.id] == s {
+		delete(e.resumable, s.id)
 	}
 }
 
-// state returns how many tokens are visible and a channel that is closed when
-// there are more.
+// state returns the number of visible tokens and a channel that is closed when there are more.
 func (e *Engine) state(s *sequence) (int, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.visible, s.progress
 }
 
-// reported returns the load as the engine reports it, with its lag.
-func (e *Engine) reported() int {
+// reportedLoad returns the load that the engine reports, which is as old as Faults.ReportLagMS
+// says, or 0 if there is no record that old.
+func (e *Engine) reportedLoad() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cutoff := time.Now().Add(-time.Duration(e.faults.ReportLagMS) * time.Millisecond)
@@ -265,26 +277,27 @@
 	return 0
 }
 
-// SetFaults puts the fault switches in force.
+// SetFaults replaces the fault switches.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// admission counts a request and says which faults it meets.
-func (e *Engine) admission() (f Faults, refuse, hidden bool) {
+// countRequest counts a request and returns the fault switches and whether they refuse the request
+// or hide an overload in its stream.
+func (e *Engine) countRequest() (f Faults, refuse, hidden bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen++
+	e.requests++
 	f = e.faults
-	refuse = f.Overload > 0 && e.seen%f.Overload == 0
-	hidden = f.HiddenOverload > 0 && e.seen%f.HiddenOverload == 0
+	refuse = f.Overload > 0 && e.requests%f.Overload == 0
+	hidden = f.HiddenOverload > 0 && e.requests%f.HiddenOverload == 0
 	return f, refuse, hidden
 }
 
-// Answer returns the tokens that the stand-in generates for a chat, so that a
-// caller can check that an answer is whole and its own.
+// Answer returns the tokens that the stand-in generates for a chat. They depend on the messages
+// only, so that a caller can check that an answer is complete and belongs to its own chat.
 func Answer(messages []Message, maxTokens int) []string {
 	d := xxhash.New()
 	for _, m := range messages {
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -15,8 +15,7 @@
 	doneEvent        = "data: [DONE]\n\n"
 )
 
-// ChatRequest is the part of an OpenAI chat completion request that the
-// stand-in reads.
+// ChatRequest is the part of an OpenAI chat completion request that the stand-in uses.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -24,14 +23,16 @@
 	MaxTokens int       `json:"max_tokens"`
 }
 
-// Stats is what the engine counted.
+// Stats are the engine's counts. Requests is the number of distinct request IDs, LoadSeconds the
+// integral of the requests in flight over time in request-seconds, and Canceled the number of
+// generations canceled before their end.
 type Stats struct {
-	ID            string  `json:"id"`
-	Requests      int     `json:"requests"`
-	LoadSeconds   float64 `json:"load_seconds"`
-	PeakInFlight  int     `json:"peak_in_flight"`
-	CurrentFlight int     `json:"current_in_flight"`
-	Canceled      int     `json:"canceled"`
+	ID              string  `json:"id"`
+	Requests        int     `json:"requests"`
+	LoadSeconds     float64 `json:"load_seconds"`
+	PeakInFlight    int     `json:"peak_in_flight"`
+	CurrentInFlight int     `json:"current_in_flight"`
+	Canceled        int     `json:"canceled"`
 }
 
 type usage struct {
@@ -61,8 +62,8 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Handler returns the engine's routes: the OpenAI paths, /load (probe) and
-// /lab/* (faults and counts).
+// Handler returns the engine's routes: the OpenAI paths, /load (load report for probes), the order
+// interface and /lab/* (fault switches and counts).
 func (e *Engine) Handler() http.Handler {
 	c := restful.NewContainer()
 	ws := new(restful.WebService).Produces("*/*")
@@ -86,7 +87,7 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
 	}
-	faults, refuse, hidden := e.admission()
+	faults, refuse, hidden := e.countRequest()
 	e.reportHeaders(w, faults)
 	id := r.Request.Header.Get("X-Request-Id")
 	last := r.Request.Header.Get("Last-Event-ID")
@@ -108,7 +109,7 @@
 		e.stream(r, w, s, req.Model, 0, faults.CutAfter)
 		return
 	}
-	e.serveWhole(r, w, s, req.Model)
+	e.serveUnstreamed(r, w, s, req.Model)
 }
 
 func (e *Engine) serveCancel(r *restful.Request, w *restful.Response) {
@@ -117,6 +118,7 @@
 	}
 }
 
+// serveResume sends the rest of a generation after the event whose ID is last.
 func (e *Engine) serveResume(r *restful.Request, w *restful.Response, req ChatRequest, id, last string) {
 	offset, err := strconv.Atoi(last)
 	if err != nil {
@@ -131,7 +133,8 @@
 	e.stream(r, w, s, req.Model, offset, 0)
 }
 
-func (e *Engine) serveWhole(r *restful.Request, w *restful.Response, s *sequence, model string) {
+// serveUnstreamed waits for the end of the generation and sends it as one JSON document.
+func (e *Engine) serveUnstreamed(r *restful.Request, w *restful.Response, s *sequence, model string) {
 	for {
 		n, more := e.state(s)
 		if n >= len(s.answer) {
@@ -153,12 +156,12 @@
 	})
 }
 
-// stream sends tokens from offset on; the event ID is the number of tokens
-// sent so far.
+// stream sends the tokens from offset on as events; an event's ID is the number of tokens sent so
+// far. A positive cutAfter closes the connection after that many tokens.
 func (e *Engine) stream(r *restful.Request, w *restful.Response, s *sequence, model string, offset, cutAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w.ResponseWriter)
-	hold := hold(r.Request)
+	hold := resumeHold(r.Request)
 	sent := offset
 	for sent < len(s.answer) {
 		n, more := e.state(s)
@@ -197,9 +200,9 @@
 	_, _ = fmt.Fprint(w, doneEvent)
 }
 
-// hold returns how long the reader asks the engine to keep a generation whose
-// connection closed.
-func hold(r *http.Request) time.Duration {
+// resumeHold returns how long the engine keeps a generation after its connection closes, from the
+// header X-Resume-Hold; 0 if it isn't a number.
+func resumeHold(r *http.Request) time.Duration {
 	seconds, err := strconv.Atoi(r.Header.Get("X-Resume-Hold"))
 	if err != nil {
 		return 0
@@ -207,6 +210,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
+// serveHiddenOverload sends status 200, events without content and an overload error.
 func (e *Engine) serveHiddenOverload(w *restful.Response) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, _ = fmt.Fprint(w, ": keepalive\n\n")
@@ -228,7 +232,7 @@
 	}
 }
 
-// reportHeaders adds the load report (ORCA's JSON form) and the state.
+// reportHeaders sets the headers of the load report (ORCA's JSON format) and of the engine's state.
 func (e *Engine) reportHeaders(w *restful.Response, f Faults) {
 	w.Header().Set("Endpoint-Load-Metrics", e.loadReport())
 	if f.Leaving {
@@ -237,11 +241,11 @@
 }
 
 func (e *Engine) loadReport() string {
-	return fmt.Sprintf(`JSON {"named_metrics":{"in_flight":%d}}`, e.reported())
+	return fmt.Sprintf(`JSON {"named_metrics":{"in_flight":%d}}`, e.reportedLoad())
 }
 
 func (e *Engine) serveLoad(_ *restful.Request, w *restful.Response) {
-	faults, _, _ := e.admission()
+	faults, _, _ := e.countRequest()
 	e.reportHeaders(w, faults)
 }
 
@@ -255,13 +259,13 @@
 	_ = json.NewEncoder(w.ResponseWriter).Encode(e.Stats())
 }
 
-// Stats returns the engine's counts.
+// Stats returns the engine's counts since its start.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Stats{
 		ID: e.cfg.ID, Requests: len(e.runs),
-		LoadSeconds: e.load.sum, PeakInFlight: e.load.peak, CurrentFlight: e.load.value,
+		LoadSeconds: e.load.sum, PeakInFlight: e.load.peak, CurrentInFlight: e.load.value,
 		Canceled: e.canceled,
 	}
 }
@@ -275,6 +279,8 @@
 	e.SetFaults(f)
 }
 
+// urgency returns the urgency parameter of a Priority header (RFC 9218), 0 (first) to 7, or the
+// default 3 if the header doesn't start with it.
 func urgency(h string) int {
 	const defaultUrgency = 3
 	if len(h) >= 3 && h[:2] == "u=" {
@@ -283,7 +289,7 @@
 	return defaultUrgency
 }
 
-// Runs returns how many generations were started.
+// Runs returns the number of generations started.
 func (e *Engine) Runs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -13,37 +13,38 @@
 	"github.com/knapweedgw/knapweedgw/orders/orderstest"
 )
 
-// Orders serves an engine's order interface over HTTP, with its fault
-// switches and the journal of the orders that it applied.
-type Orders struct{ engine *orderstest.Engine }
+// OrderServer serves an engine's order interface over HTTP: the model version to load, the
+// engine's state, fault switches and the journal of the orders that the engine applied.
+type OrderServer struct{ engine *orderstest.Engine }
 
-// NewOrders returns the order interface of an engine that starts empty.
-func NewOrders(incarnation int64) *Orders {
-	return &Orders{engine: orderstest.NewEngine(incarnation, time.Now)}
+// NewOrderServer returns the order interface of an engine that has no model loaded. Incarnation is
+// the engine's incarnation in the VM list.
+func NewOrderServer(incarnation int64) *OrderServer {
+	return &OrderServer{engine: orderstest.NewEngine(incarnation, time.Now)}
 }
 
 // Routes adds /v1/orders/* and /lab/orders/* to ws.
-func (s *Orders) Routes(ws *restful.WebService) {
+func (s *OrderServer) Routes(ws *restful.WebService) {
 	ws.Route(ws.PUT(orders.DesiredPath).To(s.putDesired))
 	ws.Route(ws.GET(orders.StatePath).To(s.serveState))
 	ws.Route(ws.PUT("/lab/orders/faults").To(s.putFaults))
 	ws.Route(ws.GET("/lab/orders/journal").To(s.serveJournal))
 }
 
-func (s *Orders) putDesired(r *restful.Request, w *restful.Response) {
+func (s *OrderServer) putDesired(r *restful.Request, w *restful.Response) {
 	var o orders.Order
 	if err := json.NewDecoder(r.Request.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if s.engine.Faults().Down {
-		hangUp(w)
+		abortConnection(w)
 		return
 	}
-	lost, err := s.engine.Apply(o)
+	responseLost, err := s.engine.Apply(o)
 	switch {
-	case lost:
-		hangUp(w)
+	case responseLost:
+		abortConnection(w)
 	case err != nil:
 		http.Error(w, err.Error(), orderStatus(err))
 	default:
@@ -51,6 +52,7 @@
 	}
 }
 
+// orderStatus returns the HTTP status for an order that the engine rejects with err.
 func orderStatus(err error) int {
 	switch {
 	case errors.Is(err, orders.ErrStaleFence):
@@ -61,8 +63,8 @@
 	return http.StatusUnprocessableEntity
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w *restful.Response) {
+// abortConnection resets the connection without sending a response.
+func abortConnection(w *restful.Response) {
 	conn, _, err := http.NewResponseController(w.ResponseWriter).Hijack()
 	if err != nil {
 		return
@@ -73,15 +75,15 @@
 	_ = conn.Close()
 }
 
-func (s *Orders) serveState(_ *restful.Request, w *restful.Response) {
+func (s *OrderServer) serveState(_ *restful.Request, w *restful.Response) {
 	if s.engine.Faults().Down {
-		hangUp(w)
+		abortConnection(w)
 		return
 	}
 	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.State())
 }
 
-func (s *Orders) putFaults(r *restful.Request, w *restful.Response) {
+func (s *OrderServer) putFaults(r *restful.Request, w *restful.Response) {
 	var f orderstest.Faults
 	if err := json.NewDecoder(r.Request.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -90,6 +92,6 @@
 	s.engine.SetFaults(f)
 }
 
-func (s *Orders) serveJournal(_ *restful.Request, w *restful.Response) {
+func (s *OrderServer) serveJournal(_ *restful.Request, w *restful.Response) {
 	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.Journal())
 }
--- a/lab/engine/orders_service_test.go
+++ b/lab/engine/orders_service_test.go
@@ -22,7 +22,7 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// fixed are the services that the issuers look up.
+// Kernel services with a fixed result, which the order service looks up.
 type (
 	fixedSettings struct{ snap *settings.Snapshot }
 	fixedTargets  struct{ snap *targets.Snapshot }
@@ -36,7 +36,7 @@
 func (f fixedMembers) ID() kernel.ID                 { return membership.ServiceID }
 func (f fixedMembers) View() *membership.View        { return f.view }
 
-// startNode starts the issuers of a node and returns their kernel.
+// startNode starts the order service of one node and returns the kernel that runs it.
 func startNode(t *testing.T, id string, s store.Store, others ...kernel.Service) *kernel.Kernel {
 	reg := prometheus.NewRegistry()
 	limits := orders.DefaultLimits()
@@ -57,14 +57,15 @@
 	return k
 }
 
-// TestIssuersOfTwoNodes: one of two nodes brings the engines to the state of
-// the settings over HTTP; after it has stopped, the other brings them to the
-// next one with a greater fencing number.
-func TestIssuersOfTwoNodes(t *testing.T) {
+// TestOrderHandoverBetweenNodes checks that one of two nodes orders the engines over HTTP to load
+// the version in the settings, and that after this node stops the other one orders the next
+// version with a greater fencing number and takes over the pool's record. It also checks that a
+// stopped node releases its lease.
+func TestOrderHandoverBetweenNodes(t *testing.T) {
 	is := is.New(t)
 	s := memory.New(time.Now)
 	snap := &targets.Snapshot{Pools: make(map[string][]targets.Target)}
-	var engines []*Orders
+	var engines []*OrderServer
 	for i := range 3 {
 		o, addr := serveOrders(t)
 		engines = append(engines, o)
@@ -74,10 +75,10 @@
 	}
 	members := fixedMembers{&membership.View{Nodes: []membership.Node{{ID: "a", Region: "r"}, {ID: "b", Region: "r"}}}}
 	a := startNode(t, "a", s, settingsOf(1, "1"), fixedTargets{snap}, members)
-	await(t, engines, "1")
+	awaitVersion(t, engines, "1")
 	b := startNode(t, "b", s, settingsOf(2, "2"), fixedTargets{snap}, members)
 	is.NoErr(a.Stop(context.Background()))
-	await(t, engines, "2")
+	awaitVersion(t, engines, "2")
 	for _, o := range engines {
 		j := o.engine.Journal()
 		is.True(j[len(j)-1].Order.Fence > j[0].Order.Fence)
@@ -89,9 +90,9 @@
 	is.NoErr(err)
 	is.Equal(rec.Issuer, "b")
 	is.NoErr(b.Stop(context.Background()))
-	_, held, err := s.Get(context.Background(), lease.Key(orders.Duty("r", "m")))
+	_, leased, err := s.Get(context.Background(), lease.Key(orders.Duty("r", "m")))
 	is.NoErr(err)
-	is.True(!held)
+	is.True(!leased)
 }
 
 func settingsOf(revision int64, version string) fixedSettings {
@@ -100,11 +101,12 @@
 	})}
 }
 
-func await(t *testing.T, engines []*Orders, version string) {
+// awaitVersion waits until every engine runs the version.
+func awaitVersion(t *testing.T, engines []*OrderServer, version string) {
 	for _, o := range engines {
 		for o.engine.State().Current.Version != version {
 			if t.Context().Err() != nil {
-				t.Fatal("not converged")
+				t.Fatal("the engines do not all run the version")
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/lab/engine/orders_test.go
+++ b/lab/engine/orders_test.go
@@ -12,8 +12,9 @@
 	"github.com/knapweedgw/knapweedgw/orders/orderstest"
 )
 
-func serveOrders(t *testing.T) (*Orders, string) {
-	o := NewOrders(orderstest.Incarnation)
+// serveOrders serves an order interface on a loopback port and returns it with its address.
+func serveOrders(t *testing.T) (*OrderServer, string) {
+	o := NewOrderServer(orderstest.Incarnation)
 	c := restful.NewContainer()
 	ws := new(restful.WebService)
 	o.Routes(ws)
@@ -23,17 +24,18 @@
 	return o, server.Listener.Addr().String()
 }
 
+// TestHTTPClientContract runs the contract tests of order clients against this HTTP server.
 func TestHTTPClientContract(t *testing.T) {
 	orderstest.Contract(t, func(t *testing.T) orderstest.Harness {
 		o, addr := serveOrders(t)
 		return orderstest.Harness{
-			Client: orders.NewHTTPClient(), Engine: o.engine, Addr: addr, DeadAddr: deadAddr(t),
+			Client: orders.NewHTTPClient(), Engine: o.engine, Addr: addr, DeadAddr: closedAddr(t),
 		}
 	})
 }
 
-// deadAddr returns an address whose listener has closed.
-func deadAddr(t *testing.T) string {
+// closedAddr returns an address that refuses connections because its listener is closed.
+func closedAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/engine/reconnect_test.go
+++ b/lab/engine/reconnect_test.go
@@ -17,8 +17,8 @@
 	"github.com/knapweedgw/knapweedgw/lab/engine"
 )
 
-// link passes TCP connections on to an address until it is cut.
-type link struct {
+// tcpProxy forwards TCP connections to an address until it is closed.
+type tcpProxy struct {
 	ln net.Listener
 	to string
 
@@ -26,43 +26,43 @@
 	conns []net.Conn
 }
 
-func newLink(t *testing.T, to string) *link {
+func newTCPProxy(t *testing.T, to string) *tcpProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{ln: ln, to: to}
-	t.Cleanup(l.cut)
-	go l.serve()
-	return l
+	p := &tcpProxy{ln: ln, to: to}
+	t.Cleanup(p.close)
+	go p.serve()
+	return p
 }
 
-func (l *link) serve() {
+func (p *tcpProxy) serve() {
 	for {
-		in, err := l.ln.Accept()
+		in, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", l.to)
+		out, err := net.Dial("tcp", p.to)
 		if err != nil {
 			_ = in.Close()
 			return
 		}
-		l.mu.Lock()
-		l.conns = append(l.conns, in, out)
-		l.mu.Unlock()
+		p.mu.Lock()
+		p.conns = append(p.conns, in, out)
+		p.mu.Unlock()
 		go func() { _, _ = io.Copy(out, in) }()
 		go func() { _, _ = io.Copy(in, out) }()
 	}
 }
 
-// cut closes all connections and takes no more.
-func (l *link) cut() {
-	_ = l.ln.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.conns {
+// close closes all connections and the listener.
+func (p *tcpProxy) close() {
+	_ = p.ln.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
 		_ = c.Close()
 	}
 }
@@ -72,7 +72,8 @@
 	requestID  = "request-1"
 )
 
-func ask(ctx context.Context, t *testing.T, url, lastEventID string) *http.Response {
+// postChat sends longStream to a node. A non-empty lastEventID asks for the rest of the stream.
+func postChat(ctx context.Context, t *testing.T, url, lastEventID string) *http.Response {
 	t.Helper()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", strings.NewReader(longStream))
 	req.Header.Set("Authorization", "Bearer "+bench.APIKey)
@@ -87,7 +88,7 @@
 	return resp
 }
 
-// read returns the content of up to n events and the last event ID.
+// read reads up to n events and returns their content and the last event ID.
 func read(body io.Reader, n int) (content, lastID string) {
 	sc := bufio.NewScanner(body)
 	for n > 0 && sc.Scan() {
@@ -106,8 +107,9 @@
 	return content, lastID
 }
 
-// A node that loses its engine, or dies, doesn't cancel the generation: the
-// caller gets the rest through another node.
+// TestReconnectAfterNodeIsLost checks that the engine doesn't cancel a generation when the node
+// loses its connection to the engine and the caller its connection to the node: with the last
+// event ID the caller gets the rest through another node, from the same run.
 func TestReconnectAfterNodeIsLost(t *testing.T) {
 	is := is.New(t)
 	e := engine.New(engine.Config{
@@ -119,22 +121,22 @@
 	addr, stopEngine, err := bench.Serve(e.Handler())
 	is.NoErr(err)
 	defer stopEngine()
-	l := newLink(t, addr)
-	one, err := bench.NewNode([]string{l.ln.Addr().String()}, nil)
+	proxy := newTCPProxy(t, addr)
+	firstNode, err := bench.NewNode([]string{proxy.ln.Addr().String()}, nil)
 	is.NoErr(err)
-	two, err := bench.NewNode([]string{addr}, nil)
+	secondNode, err := bench.NewNode([]string{addr}, nil)
 	is.NoErr(err)
-	defer func() { _ = two.Stop(context.Background()) }()
+	defer func() { _ = secondNode.Stop(context.Background()) }()
 
-	caller, leave := context.WithCancel(context.Background())
-	resp := ask(caller, t, one.URL(), "")
+	callerCtx, cancelCaller := context.WithCancel(context.Background())
+	resp := postChat(callerCtx, t, firstNode.URL(), "")
 	head, last := read(resp.Body, 20)
-	l.cut()
-	leave()
+	proxy.close()
+	cancelCaller()
 	_ = resp.Body.Close()
-	is.NoErr(one.Stop(context.Background()))
+	is.NoErr(firstNode.Stop(context.Background()))
 
-	resp = ask(context.Background(), t, two.URL(), last)
+	resp = postChat(context.Background(), t, secondNode.URL(), last)
 	defer func() { _ = resp.Body.Close() }()
 	is.Equal(resp.StatusCode, http.StatusOK)
 	rest, _ := read(resp.Body, 1000)
--- a/lab/engine/tokens.go
+++ b/lab/engine/tokens.go
@@ -1,7 +1,7 @@
 package engine
 
-// PromptTokens returns how many tokens the stand-in counts in messages, so
-// that a caller knows what could have come from a cache.
+// PromptTokens returns the number of tokens that the stand-in counts in messages. Load generators
+// use it to compute the largest possible number of cached tokens.
 func PromptTokens(messages []Message) int {
 	_, tokens := prefixes(messages)
 	total := 0
