--- a/lab/platform/faulty.go
+++ b/lab/platform/faulty.go
@@ -12,7 +12,7 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// faultyStore wraps a store with fault switches and call counts.
+// faultyStore wraps an in-memory store with fault switches and call counts.
 type faultyStore struct {
 	*memory.Store
 	now func() time.Time
@@ -20,11 +20,12 @@
 	mu      sync.Mutex
 	faults  Faults
 	changed chan struct{} // closed and replaced when the switches change
-	count   Calls
+	counts  Calls
 	reads   *rate.Limiter
 	writes  *rate.Limiter
-	cut     context.Context // ends the watches opened under it
-	cutNow  context.CancelFunc
+	// watchCtx ends the open watches when cancelWatches is called, which is followed by a new pair.
+	watchCtx      context.Context
+	cancelWatches context.CancelFunc
 }
 
 var _ store.Store = (*faultyStore)(nil)
@@ -32,31 +33,33 @@
 func newFaultyStore(s *memory.Store, now func() time.Time) *faultyStore {
 	f := &faultyStore{
 		Store: s, now: now, changed: make(chan struct{}),
-		reads: limiter(0), writes: limiter(0),
+		reads: newLimiter(0), writes: newLimiter(0),
 	}
-	f.cut, f.cutNow = context.WithCancel(context.Background())
+	f.watchCtx, f.cancelWatches = context.WithCancel(context.Background())
 	return f
 }
 
-func limiter(perSecond int) *rate.Limiter {
+// newLimiter returns a limiter with a burst of one second's calls; 0 is no limit.
+func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-func (f *faultyStore) set(faults Faults) {
+// setFaults replaces the fault switches and applies those that take effect at once.
+func (f *faultyStore) setFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if faults.Outage || faults.CutWatchesNow {
-		f.cutNow()
-		f.cut, f.cutNow = context.WithCancel(context.Background())
+		f.cancelWatches()
+		f.watchCtx, f.cancelWatches = context.WithCancel(context.Background())
 	}
 	if faults.ReadsPerSecond != f.faults.ReadsPerSecond {
-		f.reads = limiter(faults.ReadsPerSecond)
+		f.reads = newLimiter(faults.ReadsPerSecond)
 	}
 	if faults.WritesPerSecond != f.faults.WritesPerSecond {
-		f.writes = limiter(faults.WritesPerSecond)
+		f.writes = newLimiter(faults.WritesPerSecond)
 	}
 	f.faults = faults
 	close(f.changed)
@@ -69,26 +72,26 @@
 func (f *faultyStore) calls() Calls {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count
+	return f.counts
 }
 
-// add changes the counts.
-func (f *faultyStore) add(change func(*Calls)) {
+// updateCounts calls change with the counts locked.
+func (f *faultyStore) updateCounts(change func(*Calls)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change(&f.count)
+	change(&f.counts)
 }
 
-// state returns the switches, and a channel that is closed when they change.
+// state returns the fault switches and a channel that is closed when they change.
 func (f *faultyStore) state() (Faults, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults, f.changed
 }
 
-// admit counts a call and takes it from its rate limit. nth is its number
-// among the calls of its kind.
-func (f *faultyStore) admit(k kind) (nth int64, ok bool) {
+// checkRate counts a call against its rate limit. nth is the call's number among those of its
+// kind; ok is false if the call exceeds the limit.
+func (f *faultyStore) checkRate(k callKind) (nth int64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	limit := f.reads
@@ -96,29 +99,31 @@
 		limit = f.writes
 	}
 	if !limit.AllowN(f.now(), 1) {
-		f.count.Limited++
+		f.counts.Limited++
 		return 0, false
 	}
-	count := f.count.of(k)
+	count := f.counts.counter(k)
 	*count++
 	return *count, true
 }
 
-// enter lets a call in: refused in an outage or over the rate limit, delayed,
-// or held while the service hangs.
-func (f *faultyStore) enter(ctx context.Context, k kind) (nth int64, err error) {
-	nth, ok := f.admit(k)
+// begin counts a call and applies the faults that precede its effect. It returns
+// store.ErrRateLimited over the rate limit and store.ErrUnavailable in an outage; it waits while
+// the service hangs or is slow. nth is the call's number among those of its kind.
+func (f *faultyStore) begin(ctx context.Context, k callKind) (nth int64, err error) {
+	nth, ok := f.checkRate(k)
 	if !ok {
 		return 0, store.ErrRateLimited
 	}
-	if err := f.pass(ctx); err != nil {
+	if err := f.wait(ctx); err != nil {
 		return nth, err
 	}
 	return nth, nil
 }
 
-// pass waits as long as the switches say.
-func (f *faultyStore) pass(ctx context.Context) error {
+// wait waits while the service hangs and for its delay. It returns store.ErrUnavailable in an
+// outage or when ctx ends.
+func (f *faultyStore) wait(ctx context.Context) error {
 	faults, changed := f.state()
 	for faults.Hang && !faults.Outage {
 		select {
@@ -142,22 +147,24 @@
 	}
 }
 
+// unavailable returns store.ErrUnavailable with the reason why ctx ended.
 func unavailable(ctx context.Context) error {
 	return errors.Wrapf(store.ErrUnavailable, "%v", ctx.Err())
 }
 
-// leave returns err, or ErrUncertain if the call's answer is to be lost.
-func (f *faultyStore) leave(nth int64, every int, err error) error {
+// finish returns the error of the nth call of a kind, given the call's own error: err, or
+// store.ErrUncertain if the response of every n-th successful call is to be dropped.
+func (f *faultyStore) finish(nth int64, every int, err error) error {
 	if err != nil || every == 0 || nth%int64(every) != 0 {
 		return err
 	}
-	f.add(func(c *Calls) { c.LostAnswers++ })
+	f.updateCounts(func(c *Calls) { c.LostAnswers++ })
 	return store.ErrUncertain
 }
 
 // Get implements store.Store.
 func (f *faultyStore) Get(ctx context.Context, key string) (store.KV, bool, error) {
-	if _, err := f.enter(ctx, kindRead); err != nil {
+	if _, err := f.begin(ctx, kindRead); err != nil {
 		return store.KV{}, false, err
 	}
 	return f.Store.Get(ctx, key)
@@ -165,7 +172,7 @@
 
 // List implements store.Store.
 func (f *faultyStore) List(ctx context.Context, prefix string) (store.Page, error) {
-	if _, err := f.enter(ctx, kindRead); err != nil {
+	if _, err := f.begin(ctx, kindRead); err != nil {
 		return store.Page{}, err
 	}
 	return f.Store.List(ctx, prefix)
@@ -173,12 +180,12 @@
 
 // Commit implements store.Store.
 func (f *faultyStore) Commit(ctx context.Context, t store.Txn) (int64, bool, error) {
-	nth, err := f.enter(ctx, kindWrite)
+	nth, err := f.begin(ctx, kindWrite)
 	if err != nil {
 		return 0, false, err
 	}
 	rev, ok, err := f.Store.Commit(ctx, t)
-	if err := f.leave(nth, f.current().LoseEvery, err); err != nil {
+	if err := f.finish(nth, f.currentFaults().LoseEvery, err); err != nil {
 		return 0, false, err
 	}
 	return rev, ok, nil
@@ -186,12 +193,12 @@
 
 // Grant implements store.Store.
 func (f *faultyStore) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	nth, err := f.enter(ctx, kindLease)
+	nth, err := f.begin(ctx, kindLease)
 	if err != nil {
 		return 0, err
 	}
 	id, err := f.Store.Grant(ctx, ttl)
-	if err := f.leave(nth, f.current().LoseLeaseEvery, err); err != nil {
+	if err := f.finish(nth, f.currentFaults().LoseLeaseEvery, err); err != nil {
 		return 0, err
 	}
 	return id, nil
@@ -199,23 +206,23 @@
 
 // Renew implements store.Store.
 func (f *faultyStore) Renew(ctx context.Context, id store.LeaseID) error {
-	nth, err := f.enter(ctx, kindLease)
+	nth, err := f.begin(ctx, kindLease)
 	if err != nil {
 		return err
 	}
-	return f.leave(nth, f.current().LoseLeaseEvery, f.Store.Renew(ctx, id))
+	return f.finish(nth, f.currentFaults().LoseLeaseEvery, f.Store.Renew(ctx, id))
 }
 
 // Revoke implements store.Store.
 func (f *faultyStore) Revoke(ctx context.Context, id store.LeaseID) error {
-	nth, err := f.enter(ctx, kindLease)
+	nth, err := f.begin(ctx, kindLease)
 	if err != nil {
 		return err
 	}
-	return f.leave(nth, f.current().LoseLeaseEvery, f.Store.Revoke(ctx, id))
+	return f.finish(nth, f.currentFaults().LoseLeaseEvery, f.Store.Revoke(ctx, id))
 }
 
-func (f *faultyStore) current() Faults {
+func (f *faultyStore) currentFaults() Faults {
 	faults, _ := f.state()
 	return faults
 }
--- a/lab/platform/list.go
+++ b/lab/platform/list.go
@@ -16,69 +16,70 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// keptEntries bounds the old lists that are kept to serve a lagging one, in
-// entries of all of them; keptLists is the least number of lists.
+// Bounds of the earlier VM lists kept to simulate lag: lists are dropped, oldest first, while
+// together they have more than maxHistoryEntries entries, but the latest minHistoryLists stay.
 const (
-	keptEntries = 200_000
-	keptLists   = 2
+	maxHistoryEntries = 200_000
+	minHistoryLists   = 2
 )
 
-// vmLists is the VM list with its past.
-type vmLists struct {
+// vmListHistory is the VM list with its earlier versions and fault switches.
+type vmListHistory struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	vms    map[string]vmlist.VM
-	past   []timedList // ordered by version; the last is the current one
-	kept   int         // entries in past
-	faults Faults
-	reads  int
+	mu      sync.Mutex
+	vms     map[string]vmlist.VM
+	history []timedList // ordered by version; the last is the current one
+	entries int         // VMs in all lists of history
+	faults  Faults
+	reads   int
 }
 
+// timedList is a list and the time at which it was published.
 type timedList struct {
 	at   time.Time
 	list vmlist.List
 }
 
-func newVMLists(now func() time.Time) *vmLists {
-	return &vmLists{now: now, vms: make(map[string]vmlist.VM)}
+func newVMListHistory(now func() time.Time) *vmListHistory {
+	return &vmListHistory{now: now, vms: make(map[string]vmlist.VM)}
 }
 
-func (l *vmLists) set(f Faults) {
+func (l *vmListHistory) setFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// change applies f to the VMs and publishes a new version.
-func (l *vmLists) change(f func(map[string]vmlist.VM)) {
+// change calls f with the VMs and publishes the result as a new version.
+func (l *vmListHistory) change(f func(map[string]vmlist.VM)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l.vms)
 	next := vmlist.List{Version: 1, VMs: make([]vmlist.VM, 0, len(l.vms))}
-	if n := len(l.past); n > 0 {
-		next.Version = l.past[n-1].list.Version + 1
+	if n := len(l.history); n > 0 {
+		next.Version = l.history[n-1].list.Version + 1
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.vms)) {
 		next.VMs = append(next.VMs, l.vms[id])
 	}
-	l.past = append(l.past, timedList{l.now(), next})
-	l.kept += len(next.VMs)
+	l.history = append(l.history, timedList{l.now(), next})
+	l.entries += len(next.VMs)
 	l.trim()
 }
 
-func (l *vmLists) trim() {
+// trim drops the oldest lists over the bounds. The caller holds l.mu.
+func (l *vmListHistory) trim() {
 	n := 0
-	for l.kept > keptEntries && len(l.past)-n > keptLists {
-		l.kept -= len(l.past[n].list.VMs)
+	for l.entries > maxHistoryEntries && len(l.history)-n > minHistoryLists {
+		l.entries -= len(l.history[n].list.VMs)
 		n++
 	}
-	l.past = slices.Delete(l.past, 0, n)
+	l.history = slices.Delete(l.history, 0, n)
 }
 
-// read returns the list as the platform gives it, with its faults, and its
-// entity tag; ok is false in an outage.
-func (l *vmLists) read() (list vmlist.List, etag string, ok bool) {
+// read returns the list with the faults applied and its entity tag; ok is false in an outage.
+func (l *vmListHistory) read() (list vmlist.List, etag string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
@@ -87,7 +88,7 @@
 	}
 	list = vmlist.List{VMs: []vmlist.VM{}}
 	if i := l.index(); i >= 0 {
-		list = l.past[i].list
+		list = l.history[i].list
 	}
 	etag = fmt.Sprintf("\"%d\"", list.Version)
 	if len(l.faults.VMListHide) > 0 {
@@ -99,26 +100,28 @@
 	return list, etag, true
 }
 
-// index returns the position of the list to answer with, -1 for none yet.
-func (l *vmLists) index() int {
+// index returns the position in history of the list to answer with, or -1 if the answer predates
+// the first list. If older lists were dropped it returns the oldest one kept. The caller holds
+// l.mu.
+func (l *vmListHistory) index() int {
 	cutoff := l.now().Add(-time.Duration(l.faults.VMListLagMS) * time.Millisecond)
-	i := len(l.past) - 1
-	for i >= 0 && l.past[i].at.After(cutoff) {
+	i := len(l.history) - 1
+	for i >= 0 && l.history[i].at.After(cutoff) {
 		i--
 	}
 	if l.reads%2 == 0 {
 		i -= l.faults.VMListBack
 	}
-	forgotten := len(l.past) > 0 && l.past[0].list.Version > 1
-	if i < 0 && forgotten {
+	trimmed := len(l.history) > 0 && l.history[0].list.Version > 1
+	if i < 0 && trimmed {
 		return 0
 	}
 	return max(i, -1)
 }
 
-// serve answers with the list's version as entity tag, compressed if the
-// client accepts it.
-func (l *vmLists) serve(r *restful.Request, w *restful.Response) {
+// serve sends the list with its entity tag, compressed if the client accepts gzip. It answers with
+// status 304 if the client has this list and with 503 in an outage.
+func (l *vmListHistory) serve(r *restful.Request, w *restful.Response) {
 	list, etag, ok := l.read()
 	if !ok {
 		http.Error(w, "VM list unavailable", http.StatusServiceUnavailable)
--- a/lab/platform/list_test.go
+++ b/lab/platform/list_test.go
@@ -14,8 +14,8 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-// ids reads the list and returns its version and IDs.
-func ids(t *testing.T, l *vmLists) (int64, string) {
+// readIDs reads the list and returns its version and the concatenated IDs.
+func readIDs(t *testing.T, l *vmListHistory) (int64, string) {
 	t.Helper()
 	list, _, ok := l.read()
 	is.New(t).True(ok)
@@ -29,14 +29,14 @@
 func TestVMListFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults Faults
-		want   [2]string // of two reads
+		want   [2]string // version and IDs of two successive reads
 	}{
-		"healthy":         {Faults{}, [2]string{"3 abc", "3 abc"}},
-		"lag of one":      {Faults{VMListLagMS: 1500}, [2]string{"2 ab", "2 ab"}},
-		"lag over all":    {Faults{VMListLagMS: 60_000}, [2]string{"0 ", "0 "}},
-		"lagging replica": {Faults{VMListBack: 1}, [2]string{"3 abc", "2 ab"}},
-		"far behind":      {Faults{VMListBack: 9}, [2]string{"3 abc", "0 "}},
-		"hidden":          {Faults{VMListHide: []string{"b"}}, [2]string{"3 ac", "3 ac"}},
+		"healthy":                   {Faults{}, [2]string{"3 abc", "3 abc"}},
+		"lag of one":                {Faults{VMListLagMS: 1500}, [2]string{"2 ab", "2 ab"}},
+		"lag before first list":     {Faults{VMListLagMS: 60_000}, [2]string{"0 ", "0 "}},
+		"lagging replica":           {Faults{VMListBack: 1}, [2]string{"3 abc", "2 ab"}},
+		"lagging before first list": {Faults{VMListBack: 9}, [2]string{"3 abc", "0 "}},
+		"hidden":                    {Faults{VMListHide: []string{"b"}}, [2]string{"3 ac", "3 ac"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,13 +48,15 @@
 			c.Advance(time.Second)
 			p.SetFaults(tt.faults)
 			for _, want := range tt.want {
-				version, got := ids(t, p.lists)
+				version, got := readIDs(t, p.vmList)
 				is.New(t).Equal(fmt.Sprint(version, " ", got), want)
 			}
 		})
 	}
 }
 
+// TestVMListClientSeesFaults checks that a client with a cache sees hidden VMs disappear and
+// reappear although the version stays the same: the entity tag includes the hidden IDs.
 func TestVMListClientSeesFaults(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -68,17 +70,19 @@
 		p.SetFaults(faults)
 		list, err := source.Fetch(ctx)
 		is.NoErr(err)
-		is.Equal(len(list.VMs), 2-len(faults.VMListHide)) // the entity tag tells them apart
+		is.Equal(len(list.VMs), 2-len(faults.VMListHide)) // the entity tag differs
 	}
 	p.SetFaults(Faults{VMListOutage: true})
 	_, err := source.Fetch(ctx)
 	is.True(err != nil)
 }
 
-func TestVMListPastIsBounded(t *testing.T) {
+// TestVMListHistoryIsBounded checks that old lists are dropped and that a reader that lags further
+// than the history gets the oldest list kept.
+func TestVMListHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	p, _ := newTest()
-	p.lists.change(func(vms map[string]vmlist.VM) {
+	p.vmList.change(func(vms map[string]vmlist.VM) {
 		for i := range 1000 {
 			id := fmt.Sprint(i)
 			vms[id] = vmlist.VM{ID: id}
@@ -87,14 +91,16 @@
 	for range 500 {
 		p.PutVM(vmlist.VM{ID: "x"})
 	}
-	is.True(p.lists.kept <= keptEntries)
-	is.Equal(p.lists.past[len(p.lists.past)-1].list.Version, int64(501))
+	is.True(p.vmList.entries <= maxHistoryEntries)
+	is.Equal(p.vmList.history[len(p.vmList.history)-1].list.Version, int64(501))
 	p.SetFaults(Faults{VMListBack: 400})
-	_, _ = ids(t, p.lists)
-	version, _ := ids(t, p.lists)
-	is.Equal(version, p.lists.past[0].list.Version) // the oldest that is kept
+	_, _ = readIDs(t, p.vmList)
+	version, _ := readIDs(t, p.vmList)
+	is.Equal(version, p.vmList.history[0].list.Version) // the oldest list kept
 }
 
+// TestScheduleKeepsOrderAndIsReplaced checks that steps are applied by time and not by position,
+// and that a replaced schedule is never applied.
 func TestScheduleKeepsOrderAndIsReplaced(t *testing.T) {
 	is := is.New(t)
 	var s schedule
@@ -109,7 +115,8 @@
 	is.Equal((<-applied).LoseEvery, 2)
 }
 
-func TestRoutesRefuseMisspeltSwitches(t *testing.T) {
+// TestRoutesRejectInvalidBodies checks that misspelt fields and invalid JSON get status 400.
+func TestRoutesRejectInvalidBodies(t *testing.T) {
 	p, _ := newTest()
 	for path, body := range map[string]string{
 		"/lab/faults":   `{"outrage":true}`,
--- a/lab/platform/platform.go
+++ b/lab/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for the platform: its key-value service and
-// its VM list, with switches that make them fail.
+// Package platform is a stand-in for the platform on which the fleet runs: its key-value service
+// and its VM list, with switches that inject faults.
 package platform
 
 import (
@@ -15,12 +15,13 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
+// expiryInterval is the time between two checks for expired leases.
 const expiryInterval = 200 * time.Millisecond
 
 // Platform serves the key-value service, the VM list and the fault switches.
 type Platform struct {
 	store    *faultyStore
-	lists    *vmLists
+	vmList   *vmListHistory
 	schedule schedule
 }
 
@@ -28,10 +29,10 @@
 func New() *Platform { return newAt(time.Now) }
 
 func newAt(now func() time.Time) *Platform {
-	return &Platform{store: newFaultyStore(memory.New(now), now), lists: newVMLists(now)}
+	return &Platform{store: newFaultyStore(memory.New(now), now), vmList: newVMListHistory(now)}
 }
 
-// Store returns the key-value service with its faults.
+// Store returns the key-value service with the fault switches applied.
 func (p *Platform) Store() store.Store { return p.store }
 
 // Run expires leases until done is closed.
@@ -48,13 +49,14 @@
 	}
 }
 
-// Handler returns the platform's routes: /v3/* (store), /v1/vms (VM list),
-// /lab/vms/{id} (change the list), /lab/faults, /lab/schedule and /lab/calls.
+// Handler returns the platform's routes: /v3/* (key-value service), /v1/vms (VM list),
+// /lab/vms/{id} (changes to the list), /lab/faults and /lab/schedule (fault switches) and
+// /lab/calls (call counts).
 func (p *Platform) Handler() http.Handler {
 	c := restful.NewContainer()
 	ws := new(restful.WebService)
 	etcd.NewServer(p.store).Routes(ws)
-	ws.Route(ws.GET("/v1/vms").To(p.lists.serve))
+	ws.Route(ws.GET("/v1/vms").To(p.vmList.serve))
 	ws.Route(ws.PUT("/lab/vms/{id}").To(p.putVM))
 	ws.Route(ws.DELETE("/lab/vms/{id}").To(p.deleteVM))
 	ws.Route(ws.PUT("/lab/faults").To(p.putFaults))
@@ -73,18 +75,18 @@
 	p.PutVM(vm)
 }
 
-// PutVM adds or replaces a VM.
+// PutVM adds a VM to the list or replaces it.
 func (p *Platform) PutVM(vm vmlist.VM) {
-	p.lists.change(func(vms map[string]vmlist.VM) { vms[vm.ID] = vm })
+	p.vmList.change(func(vms map[string]vmlist.VM) { vms[vm.ID] = vm })
 }
 
 func (p *Platform) deleteVM(r *restful.Request, _ *restful.Response) {
 	p.DeleteVM(r.PathParameter("id"))
 }
 
-// DeleteVM removes a VM.
+// DeleteVM removes a VM from the list.
 func (p *Platform) DeleteVM(id string) {
-	p.lists.change(func(vms map[string]vmlist.VM) { delete(vms, id) })
+	p.vmList.change(func(vms map[string]vmlist.VM) { delete(vms, id) })
 }
 
 func (p *Platform) putFaults(r *restful.Request, w *restful.Response) {
@@ -94,10 +96,10 @@
 	}
 }
 
-// SetFaults puts the fault switches in force.
+// SetFaults replaces the fault switches.
 func (p *Platform) SetFaults(f Faults) {
-	p.store.set(f)
-	p.lists.set(f)
+	p.store.setFaults(f)
+	p.vmList.setFaults(f)
 }
 
 func (p *Platform) putSchedule(r *restful.Request, w *restful.Response) {
@@ -107,18 +109,19 @@
 	}
 }
 
-// Schedule puts switches in force as their times come, counted from now. It
-// replaces the schedule before.
+// Schedule sets fault switches at their times, counted from now. It replaces the previous
+// schedule.
 func (p *Platform) Schedule(steps []ScheduledFaults) { p.schedule.set(steps, p.SetFaults) }
 
-// Calls returns the counts of calls to the key-value service.
+// Calls returns the number of calls to the key-value service by kind.
 func (p *Platform) Calls() Calls { return p.store.calls() }
 
 func (p *Platform) serveCalls(_ *restful.Request, w *restful.Response) {
 	_ = json.NewEncoder(w.ResponseWriter).Encode(p.Calls())
 }
 
-// decode reads a body strictly, so that a misspelt switch is refused.
+// decode decodes a JSON body into v. It rejects unknown fields, so that a misspelt fault switch
+// isn't ignored. It returns false after an error, which it sends with status 400.
 func decode(r *restful.Request, w *restful.Response, v any) bool {
 	dec := json.NewDecoder(r.Request.Body)
 	dec.DisallowUnknownFields()
--- a/lab/platform/store_test.go
+++ b/lab/platform/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/knapweedgw/knapweedgw/store/storetest"
 )
 
-// clock is moved by hand.
+// clock is a clock that a test advances.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -43,6 +43,7 @@
 	return storetest.Fixture{Store: s, Advance: advance, Compact: p.store.Compact}
 }
 
+// TestStoreContract runs the contract tests of stores against the store without faults.
 func TestStoreContract(t *testing.T) {
 	storetest.Run(t, func(*testing.T) storetest.Fixture {
 		p, c := newTest()
@@ -50,6 +51,7 @@
 	})
 }
 
+// TestServedStoreContract runs the contract tests of stores over HTTP.
 func TestServedStoreContract(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) storetest.Fixture {
 		p, c := newTest()
@@ -60,14 +62,14 @@
 func client(t *testing.T, p *Platform) *etcd.Client {
 	srv := httptest.NewServer(p.Handler())
 	t.Cleanup(srv.Close)
-	t.Cleanup(srv.CloseClientConnections) // runs first and ends the watches
+	t.Cleanup(srv.CloseClientConnections) // runs before Close, which would wait for open watches
 	return etcd.New([]string{srv.URL}, time.Minute)
 }
 
+// put returns a transaction that writes a key.
 func put(key string) store.Txn { return store.Txn{Ops: []store.Op{{Key: key, Value: []byte("v")}}} }
 
-// TestWriteFaults checks for each switch what a caller is told of a write,
-// and whether it took effect.
+// TestWriteFaults checks, for each switch, which error a write returns and whether it took effect.
 func TestWriteFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults Faults
@@ -100,6 +102,8 @@
 	}
 }
 
+// TestLostLeaseAnswers checks that a lease call whose response is dropped returns
+// store.ErrUncertain and takes effect.
 func TestLostLeaseAnswers(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -110,7 +114,7 @@
 	is.True(errors.Is(p.Store().Renew(ctx, id), store.ErrUncertain))
 	is.NoErr(p.Store().Renew(ctx, id))
 	is.True(errors.Is(p.Store().Revoke(ctx, id), store.ErrUncertain))
-	is.True(errors.Is(p.Store().Renew(ctx, id), store.ErrLeaseNotFound)) // it was revoked
+	is.True(errors.Is(p.Store().Renew(ctx, id), store.ErrLeaseNotFound)) // the revocation took effect
 	is.Equal(p.Calls().LostAnswers, int64(2))
 }
 
@@ -140,10 +144,12 @@
 	c.Advance(time.Second)
 	is.Equal(accepted(5, write), 2)
 	is.Equal(p.Calls().Limited, int64(4+2+3))
-	is.Equal(p.Calls().Writes, int64(3)) // a refused call isn't counted as made
+	is.Equal(p.Calls().Writes, int64(3)) // excludes rate-limited calls
 }
 
-func TestHangEndsWithTheFault(t *testing.T) {
+// TestHangEndsWhenSwitchedOff checks that a hanging call continues when the switch is cleared and
+// that the caller can cancel it before.
+func TestHangEndsWhenSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	p, _ := newTest()
 	p.SetFaults(Faults{Hang: true})
@@ -152,15 +158,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, _, err := p.Store().Get(ctx, "k")
-	is.True(errors.Is(err, store.ErrUnavailable)) // a caller may give up
+	is.True(errors.Is(err, store.ErrUnavailable)) // the caller's context ended
 	p.SetFaults(Faults{})
 	is.NoErr(<-done)
 }
 
+// TestWatchFaults checks that each fault ends an open watch with store.ErrUnavailable, and that a
+// new watch from the next revision fails with store.ErrCompacted if the history was compacted.
 func TestWatchFaults(t *testing.T) {
 	tests := map[string]struct {
 		faults Faults
-		want   error // of a new watch from the old revision
+		want   error // of a new watch from revision 2, after the fault
 	}{
 		"cut":                {Faults{CutWatchesNow: true}, nil},
 		"cut with a gap":     {Faults{CutWatchesNow: true, CompactNow: true}, store.ErrCompacted},
@@ -202,7 +210,7 @@
 	is.Equal(p.Calls().Watches, int64(1))
 	is.Equal(p.Calls().WaitingWatches, int64(1))
 	cancel()
-	for range ch { // closed after the count went down
+	for range ch { // closed after the count is decremented
 	}
 	is.Equal(p.Calls().WaitingWatches, int64(0))
 }
--- a/lab/platform/watch.go
+++ b/lab/platform/watch.go
@@ -8,26 +8,26 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Watch implements store.Store. An outage ends the watch.
+// Watch implements store.Store. An outage and Faults.CutWatchesNow end the watch.
 func (f *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
-	if _, err := f.enter(ctx, kindWatch); err != nil {
+	if _, err := f.begin(ctx, kindWatch); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	cut := f.cut
+	watchCtx := f.watchCtx
 	f.mu.Unlock()
 	inner, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(cut, cancel)
+	stop := context.AfterFunc(watchCtx, cancel)
 	batches, err := f.Store.Watch(inner, prefix, from)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	f.add(func(c *Calls) { c.WaitingWatches++ })
+	f.updateCounts(func(c *Calls) { c.WaitingWatches++ })
 	out := make(chan store.Batch)
 	go func() {
 		defer close(out)
-		defer f.add(func(c *Calls) { c.WaitingWatches-- })
+		defer f.updateCounts(func(c *Calls) { c.WaitingWatches-- })
 		defer cancel()
 		defer stop()
 		f.forward(ctx, batches, out)
@@ -35,14 +35,14 @@
 	return out, nil
 }
 
-// forward passes the batches on until they end; a watch that was cut ends
-// with ErrUnavailable.
+// forward sends the batches to out until they end, subject to hangs, delays and outages. A watch
+// that was cut ends with store.ErrUnavailable.
 func (f *faultyStore) forward(ctx context.Context, batches <-chan store.Batch, out chan<- store.Batch) {
 	for b := range batches {
-		if err := f.pass(ctx); err != nil {
+		if err := f.wait(ctx); err != nil {
 			b = store.Batch{Err: err}
 		}
-		f.add(func(c *Calls) { c.Batches++ })
+		f.updateCounts(func(c *Calls) { c.Batches++ })
 		select {
 		case out <- b:
 		case <-ctx.Done():
