--- a/lab/service/runs.go
+++ b/lab/service/runs.go
@@ -2,12 +2,13 @@
 
 import lru "github.com/hashicorp/golang-lru/v2"
 
-// keptRuns bounds the counts by request ID, and those by key.
-const keptRuns = 1 << 19
+// maxTrackedIDs is the number of request IDs, and of idempotency keys, whose counts are kept.
+const maxTrackedIDs = 1 << 19
 
-// Runs counts calls run, by X-Request-Id and by Idempotency-Key. The latest
-// 524,288 of each are kept; Doubled and DoubledKeys count those run again,
-// also the ones forgotten since.
+// Runs counts the calls that took effect, by X-Request-Id and by Idempotency-Key. ByRequest and
+// ByKey hold the 524,288 most recently used IDs and keys. Doubled and DoubledKeys count the runs
+// after the first of an ID or key, also of those evicted since. Refused counts the calls that were
+// refused or dropped before they took effect.
 type Runs struct {
 	ByRequest   map[string]int `json:"by_request"`
 	ByKey       map[string]int `json:"by_key"`
@@ -17,24 +18,26 @@
 	Refused     int            `json:"refused"`
 }
 
-// counter counts runs of the latest IDs.
+// counter counts runs by ID for the most recently used IDs.
 type counter struct {
 	runs    *lru.Cache[string, int]
-	doubled int // runs after an ID's first
+	repeats int // runs after the first of an ID, evicted IDs included
 }
 
-func newCounter(keep int) counter {
-	runs, _ := lru.New[string, int](keep) // fails only if keep isn't positive
+// newCounter returns a counter that keeps the given number of IDs.
+func newCounter(capacity int) counter {
+	runs, _ := lru.New[string, int](capacity) // fails only if capacity isn't positive
 	return counter{runs: runs}
 }
 
+// add counts a run of id; an empty id isn't counted.
 func (c *counter) add(id string) {
 	if id == "" {
 		return
 	}
 	n, ok := c.runs.Get(id)
 	if ok {
-		c.doubled++
+		c.repeats++
 	}
 	c.runs.Add(id, n+1)
 }
--- a/lab/service/service.go
+++ b/lab/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service, with switches that make
-// it fail. It counts what it ran by request ID and by idempotency key.
+// Package service is a stand-in for a service that serves no model, with switches that inject
+// faults. It counts the calls that took effect by request ID and by idempotency key.
 package service
 
 import (
@@ -11,26 +11,26 @@
 	restful "github.com/emicklei/go-restful/v3"
 )
 
-// Faults are the service's fault switches; the zero value is a healthy one.
-// A call takes effect, that is, it is counted as run, between the two delays.
+// Faults are the service's fault switches; the zero value injects none. A call takes effect, that
+// is, it is counted as run, between the two delays.
 type Faults struct {
-	// DelayBeforeMS delays each call before it takes effect.
+	// DelayBeforeMS delays each call before it takes effect, in milliseconds.
 	DelayBeforeMS int `json:"delay_before_ms"`
-	// DelayMS delays each answer after the call took effect.
+	// DelayMS delays each response after the call took effect, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// RefuseEvery answers each n-th call with 503 and doesn't run it.
+	// RefuseEvery answers every n-th call with status 503 and doesn't run it.
 	RefuseEvery int `json:"refuse_every"`
-	// DropEvery closes the connection of each n-th call and doesn't run it.
+	// DropEvery closes the connection of every n-th call and doesn't run it.
 	DropEvery int `json:"drop_every"`
-	// LoseEvery runs each n-th call but closes the connection unanswered.
+	// LoseEvery runs every n-th call and closes the connection without a response.
 	LoseEvery int `json:"lose_every"`
-	// CutEvery runs each n-th call and closes the connection inside the answer.
+	// CutEvery runs every n-th call and closes the connection in the middle of the response body.
 	CutEvery int `json:"cut_every"`
-	// Leaving announces on every answer that the service VM is leaving.
+	// Leaving sets the response header that announces that the service's VM is shutting down.
 	Leaving bool `json:"leaving"`
 }
 
-// Answer is the body of each answer.
+// Answer is the body of each response.
 type Answer struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
@@ -38,25 +38,25 @@
 	RequestID string `json:"request_id"`
 }
 
-// Service runs calls.
+// Service answers calls and counts them.
 type Service struct {
 	id string
 
 	mu      sync.Mutex
 	faults  Faults
-	seen    int
-	total   int
+	calls   int // calls received, for the switches that affect every n-th
+	total   int // calls that took effect
 	refused int
 	byID    counter
 	byKey   counter
 }
 
-// New returns a service with the given VM ID.
+// New returns a service; id is the ID of its VM.
 func New(id string) *Service {
-	return &Service{id: id, byID: newCounter(keptRuns), byKey: newCounter(keptRuns)}
+	return &Service{id: id, byID: newCounter(maxTrackedIDs), byKey: newCounter(maxTrackedIDs)}
 }
 
-// Handler returns the service's routes: any path, and /lab/*.
+// Handler returns the service's routes: /lab/runs, /lab/faults and, for calls, any other path.
 func (s *Service) Handler() http.Handler {
 	c := restful.NewContainer()
 	ws := new(restful.WebService).Produces("*/*")
@@ -70,33 +70,35 @@
 }
 
 func (s *Service) serve(r *restful.Request, w *restful.Response) {
-	nth, f := s.arrive()
+	nth, f := s.countCall()
 	if f.Leaving {
 		w.Header().Set("X-Endpoint-State", "leaving")
 	}
 	switch {
-	case hits(nth, f.RefuseEvery):
-		s.refuse()
+	case isAffected(nth, f.RefuseEvery):
+		s.countRefused()
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
-	case hits(nth, f.DropEvery):
-		s.refuse()
+	case isAffected(nth, f.DropEvery):
+		s.countRefused()
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(time.Duration(f.DelayBeforeMS) * time.Millisecond)
 	id := r.Request.Header.Get("X-Request-Id")
-	s.run(id, r.Request.Header.Get("Idempotency-Key"))
+	s.countRun(id, r.Request.Header.Get("Idempotency-Key"))
 	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
-	if hits(nth, f.LoseEvery) {
+	if isAffected(nth, f.LoseEvery) {
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(r, w, id, hits(nth, f.CutEvery))
+	s.answer(r, w, id, isAffected(nth, f.CutEvery))
 }
 
-// hits says whether the n-th call meets a fault of every n-th.
-func hits(nth, every int) bool { return every > 0 && nth%every == 0 }
+// isAffected reports whether a switch for every n-th call affects the nth call, where every is the
+// switch's n; 0 is off.
+func isAffected(nth, every int) bool { return every > 0 && nth%every == 0 }
 
+// answer sends the response, or half of its body before it closes the connection if cut is set.
 func (s *Service) answer(r *restful.Request, w *restful.Response, id string, cut bool) {
 	raw, _ := json.Marshal(Answer{
 		Service: s.id, Method: r.Request.Method, Path: r.Request.URL.Path, RequestID: id,
@@ -110,21 +112,23 @@
 	_, _ = w.Write(raw)
 }
 
-// arrive numbers a call and returns the switches it meets.
-func (s *Service) arrive() (nth int, f Faults) {
+// countCall counts a call and returns its number and the fault switches.
+func (s *Service) countCall() (nth int, f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen++
-	return s.seen, s.faults
+	s.calls++
+	return s.calls, s.faults
 }
 
-func (s *Service) refuse() {
+// countRefused counts a call that didn't take effect.
+func (s *Service) countRefused() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused++
 }
 
-func (s *Service) run(id, key string) {
+// countRun counts a call that took effect.
+func (s *Service) countRun(id, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.total++
@@ -132,20 +136,20 @@
 	s.byKey.add(key)
 }
 
-// SetFaults puts the fault switches in force.
+// SetFaults replaces the fault switches.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns what the service ran.
+// Runs returns the counts of calls that took effect.
 func (s *Service) Runs() Runs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Runs{
 		ByRequest: s.byID.counts(), ByKey: s.byKey.counts(),
-		Total: s.total, Doubled: s.byID.doubled, DoubledKeys: s.byKey.doubled, Refused: s.refused,
+		Total: s.total, Doubled: s.byID.repeats, DoubledKeys: s.byKey.repeats, Refused: s.refused,
 	}
 }
 
