--- a/lab/labhttp/labhttp.go
+++ b/lab/labhttp/labhttp.go
@@ -1,5 +1,5 @@
-// Package labhttp has what the stand-ins' processes share: serving until a
-// signal, and registering with the platform's VM list.
+// Package labhttp serves HTTP until a context ends and registers a VM in the platform's VM list.
+// The processes of the stand-ins share it.
 package labhttp
 
 import (
@@ -16,17 +16,18 @@
 )
 
 const (
-	registerInterval = 100 * time.Millisecond
-	readHeaderLimit  = 5 * time.Second
+	registerRetryInterval = 100 * time.Millisecond
+	readHeaderTimeout     = 5 * time.Second
 )
 
-// Serve serves h on addr until ctx ends.
+// Serve serves h on addr until ctx ends, and then returns nil. It returns an error if it can't
+// listen on addr or the server fails.
 func Serve(ctx context.Context, addr string, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderLimit}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
 	err = s.Serve(ln)
@@ -36,8 +37,8 @@
 	return err
 }
 
-// Register puts vm in the list of the platform at url; it tries again until
-// ctx ends, for the platform may still be starting.
+// Register puts vm into the VM list of the platform stand-in at url. It retries until ctx ends,
+// because the platform may still be starting, and returns the last error then.
 func Register(ctx context.Context, url string, vm vmlist.VM) error {
 	raw, err := json.Marshal(vm)
 	if err != nil {
@@ -51,11 +52,12 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(err, "register")
-		case <-time.After(registerInterval):
+		case <-time.After(registerRetryInterval):
 		}
 	}
 }
 
+// put sends raw to url with PUT and returns an error unless the status is 200.
 func put(ctx context.Context, url string, raw []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(raw))
 	if err != nil {
--- a/lab/labhttp/labhttp_test.go
+++ b/lab/labhttp/labhttp_test.go
@@ -12,7 +12,8 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
-func TestRegisterWaitsForThePlatform(t *testing.T) {
+// TestRegisterRetries checks that Register retries while the platform refuses it.
+func TestRegisterRetries(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -25,7 +26,7 @@
 	is.Equal(calls.Load(), int64(3))
 }
 
-func TestRegisterEndsWithItsContext(t *testing.T) {
+func TestRegisterEndsWithContext(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -33,7 +34,7 @@
 	is.New(t).True(Register(ctx, srv.URL, vmlist.VM{ID: "e1"}) != nil)
 }
 
-func TestServeEndsWithItsContext(t *testing.T) {
+func TestServeEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.New(t).NoErr(Serve(ctx, "127.0.0.1:0", http.NotFoundHandler()))
