--- a/lab/fleettest/answers_test.go
+++ b/lab/fleettest/answers_test.go
@@ -11,24 +11,24 @@
 	"github.com/matryer/is"
 )
 
-// TestAnswersOutliveReplacedNodes replaces every node, one after the other. A
-// repeat of a notice's key at any new node is given the answer of the first.
-func TestAnswersOutliveReplacedNodes(t *testing.T) {
+// TestStoredAnswersSurviveNodeReplacement replaces every node, one after the other, and checks that
+// a repeat of an idempotency key at any new node gets the stored answer of the first request.
+func TestStoredAnswersSurviveNodeReplacement(t *testing.T) {
 	is := is.New(t)
 	const nodes, notices = 3, 30
 	f := startFleet(t, nodes, 1)
 	first := make(map[string]string)
 	for i := range notices {
 		key := fmt.Sprint("notice-", i)
-		eventually(t, key+" is run", func() (ok bool) {
-			first[key], ok = notify(f.nodes[i%nodes].url, key)
+		eventually(t, key+" gets an answer", func() (ok bool) {
+			first[key], ok = sendNotice(f.nodes[i%nodes].url, key)
 			return ok
 		})
 	}
-	var replacements []*gateway
+	var replacements []*nodeProcess
 	for i, old := range f.nodes {
 		n := f.startNode(t, fmt.Sprint("node-", i, "-b"))
-		f.await(t, n)
+		f.addToBalancer(t, n)
 		replacements = append(replacements, n)
 		old.signal(syscall.SIGTERM)
 		is.Equal(old.exitCode(t), 0)
@@ -36,17 +36,18 @@
 	}
 	for key, want := range first {
 		for _, n := range replacements {
-			eventually(t, key+" is answered by "+n.id, func() bool {
-				got, ok := notify(n.url, key)
+			eventually(t, key+" gets the stored answer from "+n.id, func() bool {
+				got, ok := sendNotice(n.url, key)
 				return ok && got == want
 			})
 		}
 	}
 }
 
-// notify sends a notice that may run once, and returns the answer.
-func notify(nodeURL, key string) (answer string, ok bool) {
-	req, err := http.NewRequest(http.MethodPost, nodeURL+"/services/"+works+"/notices/"+key, strings.NewReader("{}"))
+// sendNotice sends a notice, a service call that must not run twice, with an idempotency key. It
+// returns the body of the response; ok is true for status 200.
+func sendNotice(nodeURL, key string) (answer string, ok bool) {
+	req, err := http.NewRequest(http.MethodPost, nodeURL+"/services/"+service+"/notices/"+key, strings.NewReader("{}"))
 	if err != nil {
 		return "", false
 	}
--- a/lab/fleettest/balancer_test.go
+++ b/lab/fleettest/balancer_test.go
@@ -14,18 +14,19 @@
 	"time"
 )
 
+// balancerPoll is the pause between two rounds of readiness checks.
 const balancerPoll = 50 * time.Millisecond
 
-// balancer stands in for the platform's: it sends each request to the next
-// node whose /readyz answered 200 when it last asked. It repeats nothing.
+// balancer is a stand-in for the platform's load balancer. It sends requests round-robin to the
+// nodes whose /readyz answered 200 at the last check, and never retries.
 type balancer struct {
 	url       string
 	transport *http.Transport
 
 	mu    sync.Mutex
 	nodes []string
-	ready []string
-	next  int
+	ready []string // those of nodes that passed the last check
+	next  int      // counter of the round-robin
 }
 
 func startBalancer(t *testing.T) *balancer {
@@ -45,11 +46,11 @@
 	return b
 }
 
-// ServeHTTP implements http.Handler. It reads the request whole, so that no
-// answer meets a body that is still being read, and passes on the answer as it
-// comes. An answer cut by the node is cut for the caller too.
+// ServeHTTP implements http.Handler. It reads the complete request body before forwarding, so that
+// no response arrives while the body is still being read, and streams the response. If the node
+// closes its connection inside the response, so does the balancer.
 func (b *balancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	resp, err := b.pass(r)
+	resp, err := b.forward(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
@@ -57,18 +58,18 @@
 	defer func() { _ = resp.Body.Close() }()
 	maps.Copy(w.Header(), resp.Header)
 	w.WriteHeader(resp.StatusCode)
-	if _, err := io.Copy(flushed{w}, resp.Body); err != nil {
+	if _, err := io.Copy(flushWriter{w}, resp.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// pass sends a request to the next ready node, once.
-func (b *balancer) pass(r *http.Request) (*http.Response, error) {
+// forward sends a request to the next ready node, without retries.
+func (b *balancer) forward(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	node := b.choose()
+	node := b.nextNode()
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, node+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -78,10 +79,10 @@
 	return b.transport.RoundTrip(req)
 }
 
-// flushed passes on each piece at once.
-type flushed struct{ http.ResponseWriter }
+// flushWriter flushes after each write.
+type flushWriter struct{ http.ResponseWriter }
 
-func (f flushed) Write(p []byte) (int, error) {
+func (f flushWriter) Write(p []byte) (int, error) {
 	n, err := f.ResponseWriter.Write(p)
 	if err == nil {
 		err = http.NewResponseController(f.ResponseWriter).Flush()
@@ -89,6 +90,7 @@
 	return n, err
 }
 
+// run checks the readiness of all nodes until ctx ends.
 func (b *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b.mu.Lock()
@@ -113,13 +115,16 @@
 	b.nodes = append(b.nodes, node)
 }
 
-func (b *balancer) uses(node string) bool {
+// routesTo reports whether node is among the ready ones.
+func (b *balancer) routesTo(node string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Contains(b.ready, node)
 }
 
-func (b *balancer) choose() string {
+// nextNode returns the URL of the next ready node, or one that refuses connections if no node is
+// ready.
+func (b *balancer) nextNode() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.ready) == 0 {
@@ -129,8 +134,8 @@
 	return b.ready[b.next%len(b.ready)]
 }
 
-// send says whether a request gets status 200.
-func send(method, target, body string) bool {
+// sendOK sends a request and reports whether the response has status 200.
+func sendOK(method, target, body string) bool {
 	req, err := http.NewRequestWithContext(context.Background(), method, target, strings.NewReader(body))
 	if err != nil {
 		return false
--- a/lab/fleettest/doc.go
+++ b/lab/fleettest/doc.go
@@ -1,3 +1,3 @@
-// Package fleettest tests a fleet of real processes on loopback ports: nodes,
-// stand-ins and callers. It has tests only.
+// Package fleettest tests a fleet of processes on loopback ports: nodes, load generators and the
+// stand-ins for the platform, engines and services. It contains tests only.
 package fleettest
--- a/lab/fleettest/fleet_test.go
+++ b/lab/fleettest/fleet_test.go
@@ -13,29 +13,32 @@
 )
 
 const (
-	apiKey = "key"
-	region = "cantabrico"
-	model  = "asistente-lm"
-	works  = "obras-api"
+	apiKey  = "key"
+	region  = "cantabrico"
+	model   = "asistente-lm"
+	service = "obras-api"
 )
 
-// fleet is a set of processes behind one balancer.
+// fleet is the processes of a test: the stand-ins for the platform, engines and services, and nodes
+// behind one load balancer.
 type fleet struct {
 	platform    *process
 	platformURL string
 	engines     []*process
 	engineURLs  []string
 	serviceURLs []string
-	nodes       []*gateway
+	nodes       []*nodeProcess
 	balancer    *balancer
 }
 
-// gateway is a node process.
-type gateway struct {
+// nodeProcess is a running node; url is where it serves callers.
+type nodeProcess struct {
 	*process
 	id, url string
 }
 
+// startFleet starts a fleet with the given numbers of nodes and engines and two services, and waits
+// until the balancer sends requests to every node.
 func startFleet(t *testing.T, nodes, engines int) *fleet {
 	t.Helper()
 	f := &fleet{balancer: startBalancer(t)}
@@ -48,7 +51,7 @@
 		f.engines, f.engineURLs = append(f.engines, p), append(f.engineURLs, url)
 	}
 	for i := range 2 {
-		_, url := f.startTarget(t, "service", fmt.Sprint("service-", i), works)
+		_, url := f.startTarget(t, "service", fmt.Sprint("service-", i), service)
 		f.serviceURLs = append(f.serviceURLs, url)
 	}
 	f.putSettings(t)
@@ -56,11 +59,13 @@
 		f.nodes = append(f.nodes, f.startNode(t, fmt.Sprint("node-", i)))
 	}
 	for _, n := range f.nodes {
-		f.await(t, n)
+		f.addToBalancer(t, n)
 	}
 	return f
 }
 
+// startTarget starts an engine or a service and waits until it answers. It returns the process and
+// its URL.
 func (f *fleet) startTarget(t *testing.T, role, id, pool string) (*process, string) {
 	t.Helper()
 	addr := freeAddr(t)
@@ -70,10 +75,11 @@
 	return p, url
 }
 
+// putSettings writes the settings of the team with the model, the service and a workspace key.
 func (f *fleet) putSettings(t *testing.T) {
 	t.Helper()
 	doc := fmt.Sprintf(`{"models":{%q:{}},"services":{%q:{}},"workspaces":{"ws":{"keys_sha256":[%q]}}}`,
-		model, works, settings.KeyDigest(apiKey))
+		model, service, settings.KeyDigest(apiKey))
 	file := filepath.Join(t.TempDir(), "team.json")
 	if err := os.WriteFile(file, []byte(doc), 0o600); err != nil {
 		t.Fatal(err)
@@ -84,8 +90,9 @@
 	}
 }
 
-// startNode starts a node on a VM of its own.
-func (f *fleet) startNode(t *testing.T, id string, args ...string) *gateway {
+// startNode registers a VM for a node and starts the node; args are further arguments. It doesn't
+// wait until the node is ready.
+func (f *fleet) startNode(t *testing.T, id string, args ...string) *nodeProcess {
 	t.Helper()
 	listen, peer := freeAddr(t), freeAddr(t)
 	vm := start(t, "knapweedlab", "vm", "--platform", f.platformURL, "--id", id, "--listen", listen, "--peer", peer)
@@ -96,46 +103,48 @@
 		"serve", "--node-id", id, "--region", region, "--failure-domain", "santander-a",
 		"--listen", listen, "--peer-listen", peer, "--store", f.platformURL, "--vm-list", f.platformURL + "/v1/vms",
 	}, args...)...)
-	return &gateway{process: p, id: id, url: "http://" + listen}
+	return &nodeProcess{process: p, id: id, url: "http://" + listen}
 }
 
-// await waits until the balancer sends requests to a node.
-func (f *fleet) await(t *testing.T, n *gateway) {
+// addToBalancer adds a node to the balancer and waits until it receives requests.
+func (f *fleet) addToBalancer(t *testing.T, n *nodeProcess) {
 	t.Helper()
 	f.balancer.add(n.url)
 	eventually(t, n.id+" is ready", func() bool {
-		if n.ended() {
+		if n.exited() {
 			t.Fatalf("%s ended:\n%s", n.id, n.out.String())
 		}
-		return f.balancer.uses(n.url)
+		return f.balancer.routesTo(n.url)
 	})
 }
 
-// outcome is what a run of callers reported.
-type outcome struct{ requests, whole, wrong, doubled, falseNotRun int }
+// loadResult is the counts that a load generator printed: requests, complete answers (whole),
+// answers that belong to another caller (wrong), requests that ran more than once (doubled) and
+// requests that ran although the caller got a refusal which states that they didn't (falseNotRun).
+type loadResult struct{ requests, whole, wrong, doubled, falseNotRun int }
 
-// load runs callers that send chats through the balancer to their end. They
-// ask the given engines, and the services, what they ran.
-func (f *fleet) load(t *testing.T, chats int, engineURLs []string, args ...string) *process {
+// startLoad starts a load generator that sends the given number of chats through the balancer and
+// exits. At the end it reads from the given engines and from the services what they ran.
+func (f *fleet) startLoad(t *testing.T, chats int, engineURLs []string, args ...string) *process {
 	t.Helper()
 	return start(t, "knapweedlab", append([]string{
-		"load", "--nodes", f.balancer.url, "--keys", apiKey, "--model", model, "--service", works,
+		"load", "--nodes", f.balancer.url, "--keys", apiKey, "--model", model, "--service", service,
 		"--engines", strings.Join(engineURLs, ","), "--services", strings.Join(f.serviceURLs, ","),
 		"--chats", strconv.Itoa(chats), "--turns", "4", "--max-tokens", "100", "--think", "50ms",
 	}, args...)...)
 }
 
-// outcome waits for the callers.
-func (f *fleet) outcome(t *testing.T, callers *process) outcome {
+// awaitLoad waits until a load generator exits and returns its result.
+func (f *fleet) awaitLoad(t *testing.T, generator *process) loadResult {
 	t.Helper()
-	_ = callers.exitCode(t)
-	out := callers.out.String()
-	o := outcome{
-		requests: figure(t, out, `(?m)^requests\s+(\d+)`), whole: figure(t, out, `(?m)^whole answers\s+(\d+)`),
-		wrong:   figure(t, out, `(?m)^another caller's answer\s+(\d+)`),
-		doubled: figure(t, out, `(?m)^run more than once\s+(\d+)`),
+	_ = generator.exitCode(t)
+	out := generator.out.String()
+	o := loadResult{
+		requests: parseCount(t, out, `(?m)^requests\s+(\d+)`), whole: parseCount(t, out, `(?m)^whole answers\s+(\d+)`),
+		wrong:   parseCount(t, out, `(?m)^another caller's answer\s+(\d+)`),
+		doubled: parseCount(t, out, `(?m)^run more than once\s+(\d+)`),
 	}
-	o.falseNotRun = figure(t, out, `(?m)^told not run, but run\s+(\d+)`)
+	o.falseNotRun = parseCount(t, out, `(?m)^told not run, but run\s+(\d+)`)
 	if o.whole != o.requests {
 		t.Log(out)
 	}
@@ -145,26 +154,27 @@
 	return o
 }
 
-func figure(t *testing.T, out, pattern string) int {
+// parseCount returns the number that pattern's first group matches in the output.
+func parseCount(t *testing.T, out, pattern string) int {
 	t.Helper()
 	m := regexp.MustCompile(pattern).FindStringSubmatch(out)
 	if m == nil {
-		t.Fatalf("no %s in:\n%s", pattern, out)
+		t.Fatalf("no match of %s in:\n%s", pattern, out)
 	}
 	n, _ := strconv.Atoi(m[1])
 	return n
 }
 
-// removeVM takes a VM off the platform's list.
+// removeVM removes a VM from the platform's list.
 func (f *fleet) removeVM(t *testing.T, id string) {
 	t.Helper()
-	eventually(t, id+" is off the list", func() bool { return send("DELETE", f.platformURL+"/lab/vms/"+id, "") })
+	eventually(t, id+" is removed from the VM list", func() bool { return sendOK("DELETE", f.platformURL+"/lab/vms/"+id, "") })
 }
 
-// busy says whether an engine has run a request.
-func (f *fleet) busy() bool {
+// anyEngineUsed reports whether an engine has run a request.
+func (f *fleet) anyEngineUsed() bool {
 	for _, url := range f.engineURLs {
-		if requests(url) > 0 {
+		if engineRequests(url) > 0 {
 			return true
 		}
 	}
--- a/lab/fleettest/orders_test.go
+++ b/lab/fleettest/orders_test.go
@@ -18,21 +18,21 @@
 	"github.com/knapweedgw/knapweedgw/store/etcd"
 )
 
-// TestIssuer ends or freezes the node that issues a pool's orders, asks for
-// another version, and lets a frozen one wake. The other node brings it about,
-// and no engine applies an order of the old term after one of the new.
+// TestIssuer kills or freezes the node that issues a pool's orders, changes the version in the
+// settings, and resumes the frozen node. The other node takes over and the engines reach the new
+// version; no engine applies an order with an older fencing number after one with a newer.
 func TestIssuer(t *testing.T) {
 	if testing.Short() {
-		t.Skip("waits for leases to lapse")
+		t.Skip("waits for leases to expire")
 	}
 	cases := []struct {
 		name    string
 		fencing settings.Fencing
-		fail    func(*gateway)
-		wakes   bool
+		fail    func(*nodeProcess)
+		resumes bool
 	}{
-		{"killed", settings.FencingChecked, func(n *gateway) { n.kill() }, false},
-		{"frozen, then wakes", settings.FencingIgnored, func(n *gateway) { n.signal(syscall.SIGSTOP) }, true},
+		{"killed", settings.FencingChecked, func(n *nodeProcess) { n.kill() }, false},
+		{"frozen, then resumed", settings.FencingIgnored, func(n *nodeProcess) { n.signal(syscall.SIGSTOP) }, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -42,40 +42,40 @@
 			for i := range 2 {
 				f.nodes = append(f.nodes, f.startNode(t, fmt.Sprint("node-", i), "--duty-ttl", "3s"))
 			}
-			f.ignoreFencing(t, tc.fencing)
-			f.order(t, "1", tc.fencing)
-			first := f.issuer(t, "")
+			f.setFencing(t, tc.fencing)
+			f.putVersion(t, "1", tc.fencing)
+			first := f.awaitIssuer(t, "")
 			f.awaitVersion(t, "1")
 			tc.fail(first)
-			f.order(t, "2", tc.fencing)
-			second := f.issuer(t, first.id)
+			f.putVersion(t, "2", tc.fencing)
+			second := f.awaitIssuer(t, first.id)
 			f.awaitVersion(t, "2")
 			is.True(second.id != first.id)
-			if tc.wakes {
+			if tc.resumes {
 				first.signal(syscall.SIGCONT)
 			}
-			f.order(t, "3", tc.fencing)
+			f.putVersion(t, "3", tc.fencing)
 			f.awaitVersion(t, "3")
 			for _, url := range f.engineURLs {
-				is.True(inOrder(journal(t, url))) // fencing numbers never go back
+				is.True(fencesNeverDecrease(journal(t, url)))
 			}
 		})
 	}
 }
 
-// ignoreFencing sets the kind of the engines.
-func (f *fleet) ignoreFencing(t *testing.T, kind settings.Fencing) {
+// setFencing sets whether the engines check fencing numbers.
+func (f *fleet) setFencing(t *testing.T, kind settings.Fencing) {
 	t.Helper()
 	faults := fmt.Sprintf(`{"ignore_fencing":%t}`, kind == settings.FencingIgnored)
 	for _, url := range f.engineURLs {
-		eventually(t, "switch is set", func() bool { return send("PUT", url+"/lab/orders/faults", faults) })
+		eventually(t, "the fault switch is set", func() bool { return sendOK("PUT", url+"/lab/orders/faults", faults) })
 	}
 }
 
-// order asks for a version of the model.
-func (f *fleet) order(t *testing.T, version string, kind settings.Fencing) {
+// putVersion writes the team's settings with a version of the model.
+func (f *fleet) putVersion(t *testing.T, version string, kind settings.Fencing) {
 	t.Helper()
-	doc := fmt.Sprintf(`{"models":{%q:{"version":%q,"fencing":%q}},"services":{%q:{}}}`, model, version, kind, works)
+	doc := fmt.Sprintf(`{"models":{%q:{"version":%q,"fencing":%q}},"services":{%q:{}}}`, model, version, kind, service)
 	file := filepath.Join(t.TempDir(), "team.json")
 	if err := os.WriteFile(file, []byte(doc), 0o600); err != nil {
 		t.Fatal(err)
@@ -86,18 +86,19 @@
 	}
 }
 
-// issuer waits until a node other than the one given holds the pool's duty.
-func (f *fleet) issuer(t *testing.T, not string) (holder *gateway) {
+// awaitIssuer waits until a node other than except holds the lease for the pool's orders, and
+// returns it.
+func (f *fleet) awaitIssuer(t *testing.T, except string) (holder *nodeProcess) {
 	t.Helper()
-	s := etcd.New([]string{f.platformURL}, patience)
-	eventually(t, "there is an issuer", func() bool {
+	s := etcd.New([]string{f.platformURL}, conditionTimeout)
+	eventually(t, "a node holds the lease", func() bool {
 		kv, ok, err := s.Get(t.Context(), lease.Key(orders.Duty(region, model)))
 		if err != nil || !ok {
 			return false
 		}
 		rec, err := lease.ParseRecord(kv)
 		for _, n := range f.nodes {
-			if err == nil && n.id == rec.Holder && n.id != not {
+			if err == nil && n.id == rec.Holder && n.id != except {
 				holder = n
 			}
 		}
@@ -106,16 +107,18 @@
 	return holder
 }
 
+// awaitVersion waits until every engine runs the version.
 func (f *fleet) awaitVersion(t *testing.T, version string) {
 	t.Helper()
 	for _, url := range f.engineURLs {
-		eventually(t, url+" has version "+version, func() bool {
+		eventually(t, url+" runs version "+version, func() bool {
 			var s orders.State
 			return getJSON(url+orders.StatePath, &s) == nil && s.Current.Version == version
 		})
 	}
 }
 
+// journal returns the orders that an engine applied, oldest first.
 func journal(t *testing.T, url string) []orderstest.Entry {
 	t.Helper()
 	var entries []orderstest.Entry
@@ -125,7 +128,8 @@
 	return entries
 }
 
-func inOrder(entries []orderstest.Entry) bool {
+// fencesNeverDecrease reports whether there are entries and their fencing numbers never decrease.
+func fencesNeverDecrease(entries []orderstest.Entry) bool {
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Order.Fence < entries[i-1].Order.Fence {
 			return false
@@ -134,6 +138,7 @@
 	return len(entries) > 0
 }
 
+// getJSON decodes the JSON response to a GET of url into out.
 func getJSON(url string, out any) error {
 	resp, err := http.Get(url)
 	if err != nil {
--- a/lab/fleettest/process_test.go
+++ b/lab/fleettest/process_test.go
@@ -19,14 +19,15 @@
 	"github.com/knapweedgw/knapweedgw/lab/engine"
 )
 
-// patience is how long a condition may take on a machine that is busy; it is
-// no verdict on speed.
-const patience = 2 * time.Minute
+// conditionTimeout is how long a condition may take. It is long enough for a busy machine and not a
+// requirement on speed.
+const conditionTimeout = 2 * time.Minute
 
-var binaries string // directory of the programs under test
+var binDir string // directory of the compiled programs
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
+// buildAndRun builds the programs, runs the tests and returns the exit code.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "fleettest")
 	if err != nil {
@@ -38,21 +39,21 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	binaries = dir
+	binDir = dir
 	return m.Run()
 }
 
-// process is a running program.
+// process is a program that a test started.
 type process struct {
 	cmd  *exec.Cmd
 	out  output
-	done chan struct{} // closed when it has ended
+	done chan struct{} // closed when the program has exited
 }
 
-// start runs a program until the test ends or it ends by itself.
+// start starts a program, which is killed at the end of the test if it still runs.
 func start(t *testing.T, program string, args ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(filepath.Join(binaries, program), args...), done: make(chan struct{})}
+	p := &process{cmd: exec.Command(filepath.Join(binDir, program), args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = &p.out, &p.out
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -67,23 +68,25 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
+// kill ends the process with SIGKILL and waits for its exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// exitCode waits for the process to end.
+// exitCode waits for the exit of the process and returns its exit code.
 func (p *process) exitCode(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		t.Fatalf("%v has not ended; its output:\n%s", p.cmd.Args, p.out.String())
+	case <-time.After(conditionTimeout):
+		t.Fatalf("%v has not exited; its output:\n%s", p.cmd.Args, p.out.String())
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-func (p *process) ended() bool {
+// exited reports whether the process has exited.
+func (p *process) exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -92,7 +95,7 @@
 	}
 }
 
-// output keeps what a process wrote.
+// output collects the output of a process.
 type output struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -110,9 +113,9 @@
 	return o.buf.String()
 }
 
-// freeAddr returns a loopback "ip:port" that was free a moment ago. It is below
-// the ports that the system gives to connections, one of which could otherwise
-// take it before the process listens.
+// freeAddr returns a loopback "ip:port" on which nothing listened a moment ago. Its port is below
+// the system's range of ephemeral ports; otherwise an outgoing connection could take it before the
+// process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	const lowest, highest, tries = 10_000, 32_000, 1000
@@ -127,17 +130,18 @@
 	return ""
 }
 
-// eventually waits for a condition.
-func eventually(t *testing.T, what string, done func() bool) {
+// eventually waits until condition is true and fails the test after conditionTimeout; what describes
+// the condition.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begin := time.Now(); !done(); time.Sleep(10 * time.Millisecond) {
-		if time.Since(begin) > patience {
-			t.Fatal("never: " + what)
+	for begin := time.Now(); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Since(begin) > conditionTimeout {
+			t.Fatal("condition not met in time: " + what)
 		}
 	}
 }
 
-// answersOK says whether a GET of url gives status 200.
+// answersOK reports whether a GET of url returns status 200 within a second.
 func answersOK(url string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -153,8 +157,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// requests returns how many requests an engine has run, 0 if it can't be asked.
-func requests(engineURL string) int {
+// engineRequests returns the number of requests that an engine has run, 0 if it doesn't answer.
+func engineRequests(engineURL string) int {
 	resp, err := http.Get(engineURL + "/lab/stats")
 	if err != nil {
 		return 0
--- a/lab/fleettest/rolling_test.go
+++ b/lab/fleettest/rolling_test.go
@@ -8,19 +8,18 @@
 	"github.com/matryer/is"
 )
 
-// TestRollingReplacement replaces all 8 nodes, one after the other, while
-// callers send chats. Nothing is lost, cut, doubled or refused, and each old
-// process exits with 0.
+// TestRollingReplacement replaces all 8 nodes, one after the other, under load. No request is lost,
+// cut off, run twice or refused, and each old process exits with code 0.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	const nodes, engines, chats = 8, 4, 12
 	f := startFleet(t, nodes, engines)
 	replaced := make(chan struct{})
-	total := make(chan outcome)
+	total := make(chan loadResult)
 	go func() {
-		var sum outcome
+		var sum loadResult
 		for seed := 1; ; seed++ {
-			o := f.outcome(t, f.load(t, chats, f.engineURLs, "--seed", fmt.Sprint(seed), "--notices", "0.2", "--resend", "0.2"))
+			o := f.awaitLoad(t, f.startLoad(t, chats, f.engineURLs, "--seed", fmt.Sprint(seed), "--notices", "0.2", "--resend", "0.2"))
 			sum.requests += o.requests
 			sum.whole += o.whole
 			sum.doubled += o.doubled
@@ -34,7 +33,7 @@
 		}
 	}()
 	for i, old := range f.nodes {
-		f.await(t, f.startNode(t, fmt.Sprint("node-", i, "-b")))
+		f.addToBalancer(t, f.startNode(t, fmt.Sprint("node-", i, "-b")))
 		old.signal(syscall.SIGTERM)
 		is.Equal(old.exitCode(t), 0)
 		f.removeVM(t, old.id)
--- a/lab/fleettest/stop_test.go
+++ b/lab/fleettest/stop_test.go
@@ -8,30 +8,31 @@
 	"github.com/matryer/is"
 )
 
-// TestStopEndedEarly ends a stop by each means that the operator has, while a
-// request is in progress that would take minutes.
-func TestStopEndedEarly(t *testing.T) {
+// TestDrainCutShort checks that a second SIGTERM and the drain deadline each end a graceful stop
+// while a request is in progress that would take minutes: the node exits with code 1 and logs the
+// reason and a remedy.
+func TestDrainCutShort(t *testing.T) {
 	cases := []struct {
 		name string
 		args []string
-		then func(t *testing.T, n *gateway)
+		then func(t *testing.T, n *nodeProcess)
 	}{
-		{"by a second signal", nil, func(t *testing.T, n *gateway) {
-			eventually(t, "not ready", func() bool { return !answersOK(n.url + "/readyz") })
-			is.New(t).True(!n.ended())
+		{"by a second signal", nil, func(t *testing.T, n *nodeProcess) {
+			eventually(t, "the node is not ready", func() bool { return !answersOK(n.url + "/readyz") })
+			is.New(t).True(!n.exited())
 			n.signal(syscall.SIGTERM)
 		}},
-		{"by the deadline", []string{"--drain-deadline", "300ms"}, func(*testing.T, *gateway) {}},
+		{"by the deadline", []string{"--drain-deadline", "300ms"}, func(*testing.T, *nodeProcess) {}},
 	}
 	f := startFleet(t, 0, 1)
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			n := f.startNode(t, "node-"+strings.ReplaceAll(tc.name, " ", "-"), tc.args...)
-			f.await(t, n)
-			before := requests(f.engineURLs[0])
-			_ = f.load(t, 1, f.engineURLs, "--max-tokens", "100000")
-			eventually(t, "the request runs", func() bool { return requests(f.engineURLs[0]) > before })
+			f.addToBalancer(t, n)
+			before := engineRequests(f.engineURLs[0])
+			_ = f.startLoad(t, 1, f.engineURLs, "--max-tokens", "100000")
+			eventually(t, "the request runs", func() bool { return engineRequests(f.engineURLs[0]) > before })
 			n.signal(syscall.SIGTERM)
 			tc.then(t, n)
 			is.Equal(n.exitCode(t), 1)
