--- a/lab/service/runs.go
+++ b/lab/service/runs.go
@@ -6,16 +6,16 @@
 const maxTrackedIDs = 1 << 19
 
 // Runs counts the calls that took effect, by X-Request-Id and by Idempotency-Key. ByRequest and
-// ByKey hold the 524,288 most recently used IDs and keys. Doubled and DoubledKeys count the runs
+// ByKey hold the 524,288 most recently used IDs and keys. Repeats and KeyRepeats count the runs
 // after the first of an ID or key, also of those evicted since. Refused counts the calls that were
 // refused or dropped before they took effect.
 type Runs struct {
-	ByRequest   map[string]int `json:"by_request"`
-	ByKey       map[string]int `json:"by_key"`
-	Total       int            `json:"total"`
-	Doubled     int            `json:"doubled"`
-	DoubledKeys int            `json:"doubled_keys"`
-	Refused     int            `json:"refused"`
+	ByRequest  map[string]int `json:"by_request"`
+	ByKey      map[string]int `json:"by_key"`
+	Total      int            `json:"total"`
+	Repeats    int            `json:"doubled"`
+	KeyRepeats int            `json:"doubled_keys"`
+	Refused    int            `json:"refused"`
 }
 
 // counter counts runs by ID for the most recently used IDs.
--- a/lab/service/service.go
+++ b/lab/service/service.go
@@ -149,7 +149,7 @@
 	defer s.mu.Unlock()
 	return Runs{
 		ByRequest: s.byID.counts(), ByKey: s.byKey.counts(),
-		Total: s.total, Doubled: s.byID.repeats, DoubledKeys: s.byKey.repeats, Refused: s.refused,
+		Total: s.total, Repeats: s.byID.repeats, KeyRepeats: s.byKey.repeats, Refused: s.refused,
 	}
 }
 
