--- a/lab/standin/answered_test.go
+++ b/lab/standin/answered_test.go
@@ -21,15 +21,15 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// In large fleets, requests that had been taken ended with a closed connection in
-// place of an answer: restarts overlapped while targets were slow, and surges used up
-// the retries. The tests of this file drive each place in which a node closed a
-// caller's connection though it could have answered: a stream whose header had come
-// ahead of its first event, a node that was late to write, a stop, and an attempt that
-// was given up for another that was then not allowed. Processes under overlapping
-// restarts met the first and the third; each of the others is proved by its test only.
+// The tests of this file guard against requests that were accepted and then ended with a
+// closed connection instead of an answer. In large fleets, restarts overlapped while targets
+// were slow, and surges used up the retry budget. Each place is tested in which a node closed
+// a caller's connection though it could have answered: a stream whose header was sent before
+// its first event, a node that was late to write, a stop, and an attempt that was abandoned
+// for another one that was then not allowed. The first and the third also occurred in
+// processes under overlapping restarts; only the tests show the others.
 
-// timeouts is a change of the configuration that gives each route a timeout.
+// timeouts is a change to the configuration that sets the timeout of each route.
 func timeouts(d time.Duration) func(cfg map[string]any) {
 	return func(cfg map[string]any) {
 		for _, r := range cfg["routes"].([]any) {
@@ -38,59 +38,59 @@
 	}
 }
 
-// lateDialect writes answers as a node does that waits for the processor.
-type lateDialect struct {
+// slowDialect delays answers like a node that waits for the CPU.
+type slowDialect struct {
 	router.Dialect
 	delay time.Duration
 }
 
-func (d lateDialect) EncodeAnswer(dst, src http.Header) {
+func (d slowDialect) EncodeAnswer(dst, src http.Header) {
 	time.Sleep(d.delay)
 	d.Dialect.EncodeAnswer(dst, src)
 }
 
-func (d lateDialect) WriteRefusal(w http.ResponseWriter, p *problem.Problem) {
+func (d slowDialect) WriteRefusal(w http.ResponseWriter, p *problem.Problem) {
 	time.Sleep(d.delay)
 	d.Dialect.WriteRefusal(w, p)
 }
 
-// A request that is passed on is answered, whatever its target and the node lack.
-func TestPassedOnRequestIsAnswered(t *testing.T) {
+// A request that is forwarded is answered even if its target or the node is too slow.
+func TestForwardedRequestIsAnswered(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	for _, tt := range []struct {
 		name  string
 		fault Fault
 		path  string
-		late  time.Duration
+		delay time.Duration
 		want  int
 	}{
 		{"a stream's header without an event", HeaderOnly, StreamPath, 0, http.StatusGatewayTimeout},
 		{"a resumable stream's header without an event", HeaderOnly, ResumePath, 0, http.StatusGatewayTimeout},
-		{"a refusal at the timeout by a late node", Hang, UnsafePath, 2 * timeout, http.StatusGatewayTimeout},
-		{"an answer by a late node", None, UnsafePath, 2 * timeout, http.StatusOK},
-		{"a stream by a late node", None, StreamPath, 2 * timeout, http.StatusOK},
+		{"a refusal at the timeout by a slow node", Hang, UnsafePath, 2 * timeout, http.StatusGatewayTimeout},
+		{"an answer by a slow node", None, UnsafePath, 2 * timeout, http.StatusOK},
+		{"a stream by a slow node", None, StreamPath, 2 * timeout, http.StatusOK},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
 			s.Configure(timeouts(timeout))
-			s.Wrap = func(d router.Dialect) router.Dialect { return lateDialect{d, tt.late} }
+			s.WrapDialect = func(d router.Dialect) router.Dialect { return slowDialect{d, tt.delay} }
 			s.Start(1)
 			for _, e := range s.Engines() {
 				e.SetFault(tt.fault, -1)
 			}
 			a := s.Nodes[0].Do(Request{Path: tt.path, Body: "x"})
-			is.Equal(a.Status, tt.want) // 0: the connection was closed without an answer
+			is.Equal(a.Status, tt.want) // 0 if the connection was closed without an answer
 		})
 	}
 }
 
-// A stream ends whole however long after its last event its end comes.
+// A stream is complete however long after its last event its body ends.
 func TestStreamMayEndLate(t *testing.T) {
 	for _, path := range []string{StreamPath, ResumePath} {
 		t.Run(path, func(t *testing.T) {
 			is, s := is.New(t), start(t, 1)
 			for _, e := range s.Model {
-				e.StallFor = 2500 * time.Millisecond // longer than a write may take
+				e.StallFor = 2500 * time.Millisecond // longer than a write timeout
 				e.SetFault(LateEnd, -1)
 			}
 			a := s.Nodes[0].Do(Request{Path: path, Body: "x", Deadline: 9 * time.Second})
@@ -100,7 +100,7 @@
 	}
 }
 
-// callerConn is a caller's kept connection.
+// callerConn is a caller's keep-alive connection.
 type callerConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -123,7 +123,7 @@
 	return id, err
 }
 
-// receive reads a whole answer.
+// receive reads a complete answer.
 func (c *callerConn) receive() (status int, body string, err error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -134,13 +134,13 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// longStream is the number of events of a stream that ends after a stopping node has
-// closed its listener, and before its grace time is over.
+// longStream is the number of events of a stream that ends after a stopping node has closed
+// its listener, and before its grace period is over.
 const longStream = 30
 
-// stopUnderAStream stops a node while a long stream is under way on a connection, and
-// returns the ID of its request.
-func stopUnderAStream(t *testing.T) (s *Site, c *callerConn, first string) {
+// stopDuringStream starts to stop a node while it serves a long stream on a connection, and
+// returns the ID of the stream's request.
+func stopDuringStream(t *testing.T) (s *Site, c *callerConn, first string) {
 	is := is.New(t)
 	s = start(t, 1)
 	for _, e := range s.Model {
@@ -154,10 +154,10 @@
 	return s, c, first
 }
 
-// A stop answers what it took: a request for which its target is silent until the
-// grace time is over, and the next request on a connection whose answer was under
-// way when the stop began, unless that request is left unread or not passed on.
-func TestStopAnswersWhatItTook(t *testing.T) {
+// A stopping node answers the requests that it accepted: one whose target sends nothing until
+// the grace period is over, and the next request on a connection that had an answer in
+// progress when the stop began, unless the node has not read or not forwarded that request.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	t.Run("a silent target", func(t *testing.T) {
 		is, s := is.New(t), start(t, 1)
 		for _, e := range s.Engines() {
@@ -180,7 +180,7 @@
 	})
 	t.Run("the next request on a busy connection", func(t *testing.T) {
 		is := is.New(t)
-		s, c, first := stopUnderAStream(t)
+		s, c, first := stopDuringStream(t)
 		status, body, err := c.receive()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
@@ -188,23 +188,23 @@
 
 		next, err := c.send(StreamPath)
 		if err != nil {
-			return // closed before the caller went on
+			return // closed before the caller sent its next request
 		}
 		status, body, err = c.receive()
 		if len(s.Journal.Runs(next)) == 0 {
 			is.True(err != nil || status == http.StatusServiceUnavailable)
 			return
 		}
-		is.NoErr(err) // taken, passed on and cut off
+		is.NoErr(err) // accepted and forwarded, then aborted
 		is.Equal(body, WholeStream(next, longStream))
 	})
 }
 
-// A caller that sends its next request ahead of the end of an answer gets a refusal
-// for it if the answer ends after the node has stopped to take requests.
+// A caller that pipelines a request behind an answer in progress gets a refusal for it if the
+// answer ends after the node has stopped to accept requests.
 func TestPipelinedRequestAtAStopIsRefused(t *testing.T) {
 	is := is.New(t)
-	s, c, first := stopUnderAStream(t)
+	s, c, first := stopDuringStream(t)
 	next, err := c.send(UnsafePath)
 	is.NoErr(err)
 	_, body, err := c.receive()
@@ -216,9 +216,9 @@
 	is.Equal(len(s.Journal.Runs(next)), 0)
 }
 
-// An answer whose header is written after a stop has begun asks its caller to close
-// the connection, whenever its request came.
-func TestAnswerUnderWayAsksToClose(t *testing.T) {
+// An answer whose header is written after a stop has begun has Connection: close, even if its
+// request came before.
+func TestAnswerDuringStopClosesConnection(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Engines() {
 		e.StallFor = Grace / 6
@@ -236,7 +236,7 @@
 	is.True(resp.Close)
 }
 
-// overdueSoon is a change of the configuration that makes attempts overdue soon.
+// overdueSoon is a change to the configuration that makes attempts overdue after a short time.
 func overdueSoon(cfg map[string]any) {
 	for _, r := range cfg["routes"].([]any) {
 		r.(map[string]any)["gap_aim_ms"] = 100
@@ -244,9 +244,9 @@
 	}
 }
 
-// A request whose overdue attempt was given up goes back to that target if the
-// others refuse it, before its first event and after.
-func TestRequestGoesBackToAnOverdueTarget(t *testing.T) {
+// A request whose overdue attempt was abandoned is retried on that target if the others refuse
+// it, before its first event and after.
+func TestRequestIsRetriedOnAnOverdueTarget(t *testing.T) {
 	for _, path := range []string{SafePath, ResumePath} {
 		t.Run(path, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
@@ -276,13 +276,13 @@
 	}
 }
 
-// An attempt that is given up is paid for once.
+// An abandoned attempt is charged to the retry budget only once.
 func TestOverdueAttemptIsChargedOnce(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
 	s.Configure(overdueSoon)
-	// A new node takes an eighth of the slack, less the reserve of a quarter: room
-	// for one retry.
-	s.Adjust = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 1.5*8/0.75 }
+	// A new node uses an eighth of the slack, less the reserve of a quarter: enough for one
+	// retry.
+	s.AdjustConfig = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 1.5*8/0.75 }
 	s.Start(1)
 	for _, e := range s.Plain {
 		e.StallFor = 2 * time.Second
@@ -301,21 +301,21 @@
 	is.Equal(len(s.Journal.Runs(id)), 2)
 }
 
-// An attempt that is overdue goes on where the retry budget allows no other one: its
-// target may still answer.
-func TestOverdueAttemptGoesOnWithoutBudget(t *testing.T) {
+// An overdue attempt continues if the retry budget allows no other one: its target may still
+// answer.
+func TestOverdueAttemptContinuesWithoutBudget(t *testing.T) {
 	for _, path := range []string{SafePath, ResumePath} {
 		t.Run(path, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
 			s.Configure(overdueSoon)
-			s.Adjust = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 0 }
+			s.AdjustConfig = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 0 }
 			s.Start(1)
 			for _, e := range s.Engines() {
 				e.StallFor = time.Second
 				e.SetFault(Stall, -1)
 			}
 			a := s.Nodes[0].Do(Request{Path: path, Body: "x"})
-			is.True(!errors.Is(a.Err, io.EOF)) // closed without an answer
+			is.True(!errors.Is(a.Err, io.EOF)) // the connection was closed without an answer
 			is.NoErr(a.Err)
 			is.Equal(a.Status, http.StatusOK)
 			is.Equal(len(s.Journal.Runs(a.ID)), 1)
@@ -323,9 +323,9 @@
 	}
 }
 
-// A target failed a request that may be repeated. What becomes of the next attempt, the
-// target's own answer is delivered, and not a refusal in its place.
-func TestAnswerInHandIsDelivered(t *testing.T) {
+// A target fails a request that may be repeated. Whatever the result of the next attempt, the
+// caller gets that target's answer and no refusal from the node.
+func TestReceivedFailureIsDelivered(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fault Fault
@@ -340,19 +340,19 @@
 				e.SetFault(tt.fault, -1)
 			}
 			const deadline = 800 * time.Millisecond
-			begun := time.Now()
+			began := time.Now()
 			a := s.Nodes[0].Do(Request{Path: SafePath, Body: "x", Deadline: deadline})
 			is.NoErr(a.Err)
 			is.Equal(a.Status, http.StatusInternalServerError)
 			is.True(strings.HasPrefix(a.Body, "failed on "))
 			is.True(strings.HasPrefix(a.Header.Get("Engine-Signature"), "sig-"))
-			is.True(time.Since(begun) < deadline)
+			is.True(time.Since(began) < deadline)
 		})
 	}
 }
 
-// A node that stops while it repeats a request delivers the answer that it has.
-func TestStopDeliversTheAnswerInHand(t *testing.T) {
+// A node that stops while it retries a request delivers the failure that it has received.
+func TestStopDeliversReceivedFailure(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Engines() {
 		e.SetFault(FailThenHang, -1)
@@ -368,8 +368,8 @@
 	is.True(strings.HasPrefix(body, "failed on "))
 }
 
-// A failure that is too large to hold is delivered whole, and is not repeated.
-func TestLargeFailureIsWhole(t *testing.T) {
+// A failure that is too large to buffer is delivered in full and is not retried.
+func TestLargeFailureIsDeliveredInFull(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Engines() {
 		e.SetFault(FailLarge, -1)
--- a/lab/standin/client.go
+++ b/lab/standin/client.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Request is a caller's request.
+// Request is a caller's request to a node.
 type Request struct {
 	Path     string
-	Key      string // the default key if empty
+	Key      string // API key; Key if empty
 	NoKey    bool
-	ID       string // a new one if empty
+	ID       string // request ID; a new one if empty
 	Body     string
 	Deadline time.Duration // 3 s if zero
 	Header   http.Header
 	Prefix   string
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
 	ID     string
 	Status int
 	Header http.Header
 	Body   string
-	// Closes says that the connection ends with the answer.
+	// Closes reports whether the node closes the connection after the answer.
 	Closes bool
-	// Err is how the answer broke off or failed to come.
+	// Err is the error of the request or of reading the body.
 	Err error
 }
 
@@ -41,13 +41,13 @@
 
 var caller = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true}}
 
-// Front is the ip:port at which a node takes callers.
+// Front is the ip:port on which a node accepts callers' requests.
 type Front string
 
 // Do sends a request to the node and reads the whole answer.
 func (n *Node) Do(r Request) Answer { return n.DoContext(context.Background(), r) }
 
-// DoContext is Do for a caller that may leave.
+// DoContext is Do with a context; canceling it closes the caller's connection.
 func (n *Node) DoContext(ctx context.Context, r Request) Answer {
 	return Front(n.Config.Listen).Do(ctx, r)
 }
@@ -70,7 +70,7 @@
 	return out
 }
 
-// NewRequest returns the request as it goes to the node.
+// NewRequest returns the HTTP request for r, with the platform's headers.
 func (f Front) NewRequest(ctx context.Context, r Request) *http.Request {
 	method, body := http.MethodGet, io.Reader(http.NoBody)
 	if r.Body != "" {
@@ -78,7 +78,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+string(f)+r.Path, body)
 	if err != nil {
-		panic(err) // a mistake of the test
+		panic(err) // only a malformed path or address in the test
 	}
 	req.GetBody = nil
 	req.Host = Host
@@ -107,7 +107,7 @@
 	return req
 }
 
-// WholeStream is the body of a whole stream of n events.
+// WholeStream returns the body of a complete stream of n events.
 func WholeStream(id string, n int) string {
 	var b strings.Builder
 	for i := range n {
--- a/lab/standin/cold_test.go
+++ b/lab/standin/cold_test.go
@@ -12,16 +12,17 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// Engines of a domain that came back ended again: they look idle to every node, which
-// all sent there what the others had more of, and a cold engine bears few requests a
-// second.
+// Guards against overload of cold engines: the engines of a failure domain that came back
+// crashed again. They looked idle to every node, so that each node sent its surplus load
+// there, and a cold engine handles only few requests a second.
 
 const (
 	coldPerSecond = 10
 	coldFor       = 3 * time.Second
 )
 
-// limitCold is a change of the configuration by which cold engines bear so many.
+// limitCold is a change to the configuration that limits the requests per second to cold
+// engines.
 func limitCold(cfg map[string]any) {
 	for _, s := range cfg["services"].([]any) {
 		service := s.(map[string]any)
@@ -29,19 +30,20 @@
 	}
 }
 
-func TestColdEnginesStayWithinWhatTheyBear(t *testing.T) {
+func TestColdEnginesStayWithinTheirRateLimit(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
 	s.Configure(limitCold)
 	s.Start(3)
 	var cold []*Engine
 	for i := range 2 {
 		e := NewEngine(t, fmt.Sprint("i-cold-", i), ServicePool, "zone-0", s.Journal)
-		// Half as many again end none: what nodes believe is a report old.
+		// The engines crash only above 1.5 times the limit: a node's view of the load that
+		// others send is as old as their last report.
 		e.ColdFor, e.ColdPerSecond = coldFor, coldPerSecond*3/2
 		s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 		cold = append(cold, e)
 	}
-	s.Eventually("they are known", func() bool { return allLogged(s, "i-cold-1") })
+	s.Eventually("the nodes have the entries", func() bool { return allLogged(s, "i-cold-1") })
 
 	var wg sync.WaitGroup
 	refused := make([]int, len(s.Nodes))
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Fault is what an engine does wrong.
+// Fault is a misbehavior of an engine.
 type Fault int
 
 // The faults of an engine.
 const (
-	// None works.
+	// None is normal operation.
 	None Fault = iota
-	// Refuse answers 503 and says that it ran nothing.
+	// Refuse answers 503 with the Not-Executed header, without running the request.
 	Refuse
-	// FakeRefuse runs the request and answers 503 without that word.
+	// FakeRefuse runs the request and answers 503, without the Not-Executed header and
+	// unsigned.
 	FakeRefuse
 	// Fail runs the request and answers 500.
 	Fail
-	// FailThenRefuse is Fail for a request that no engine has run, else Refuse.
+	// FailThenRefuse is Fail for a request that no engine has run yet, else Refuse.
 	FailThenRefuse
-	// FailThenHang is Fail for a request that no engine has run, else Hang.
+	// FailThenHang is Fail for a request that no engine has run yet, else Hang.
 	FailThenHang
-	// FailThenDrop is Fail for a request that no engine has run, else Drop.
+	// FailThenDrop is Fail for a request that no engine has run yet, else Drop.
 	FailThenDrop
 	// FailLarge answers 500 with a body of LargeFailure bytes.
 	FailLarge
@@ -36,74 +37,75 @@
 	Hang
 	// Drop runs the request and closes the connection without an answer.
 	Drop
-	// Cut breaks off in the middle of the answer, within an event of a stream.
+	// Cut closes the connection in the middle of the answer, for a stream within an event.
 	Cut
-	// WrongID answers with the ID of another request.
+	// WrongID answers with another request's ID in the Request-Id header.
 	WrongID
-	// Unsigned answers without a signature.
+	// Unsigned answers without the Engine-Signature header.
 	Unsigned
-	// Unframed ends its answer with the connection.
+	// Unframed answers without a Content-Length: the end of the connection ends the body.
 	Unframed
-	// HeaderOnly sends the header of its answer and nothing more.
+	// HeaderOnly sends the header of its answer and then nothing, with the connection open.
 	HeaderOnly
-	// Stall waits for the engine's StallFor: before the answer of a plain request,
-	// and between the header and the first event of a stream.
+	// Stall delays by the engine's StallFor: before the answer of a plain request, and between
+	// the header and the first event of a stream.
 	Stall
-	// LateEnd waits for the engine's StallFor between the last event of a stream and
-	// its end.
+	// LateEnd delays by the engine's StallFor between the last event of a stream and the end
+	// of its body.
 	LateEnd
 )
 
-// Faults are all that an engine may do wrong.
+// Faults lists faults from which tests and tools choose.
 var Faults = []Fault{Refuse, FakeRefuse, Fail, Hang, Drop, Cut, WrongID, Unsigned, Unframed}
 
-// LargeFailure is larger than what a node reads of an answer before it passes it on.
+// LargeFailure is a body length in bytes, larger than what a node buffers of an answer before
+// it forwards it.
 const LargeFailure = 3 << 19
 
-// EndingBody is the body of a request that ends each engine that runs it, after the
-// time that BeforeHeader sets.
+// EndingBody is the body of a request that crashes each engine that runs it, after the time
+// set by BeforeHeader.
 const EndingBody = "ends its engine"
 
-// DefaultEvents is the number of events of a stream.
+// DefaultEvents is the number of events of a stream unless the engine sets another.
 const DefaultEvents = 5
 
-// Run is one run of a request, as an engine saw it.
+// Run is one execution of a request, as recorded by the engine.
 type Run struct {
 	Engine, Service string
-	// Began is when the engine began the run.
+	// Began is the time at which the engine started the run.
 	Began time.Time
-	// Born is the start of that engine, in Unix milliseconds.
+	// Born is the start time of that engine process, in Unix milliseconds.
 	Born   int64
 	Method string
 	Path   string
 	Header http.Header
 	Body   string
-	// Canceled says that the caller's connection ended before the run did.
+	// Canceled reports whether the caller's connection ended before the run did.
 	Canceled bool
 }
 
-// Journal holds the runs of all engines by request ID.
+// Journal records the runs of all engines by request ID, and the requests that reached them.
 type Journal struct {
 	mu   sync.Mutex
 	runs map[string][]*Run
-	// Turned counts requests that were turned away without a run.
-	turned   int
+	// rejected counts requests that engines rejected without running them.
+	rejected int
 	arrivals []Arrival
 }
 
-// Arrival is a request that reached an engine which was meant.
+// Arrival is a request that reached the engine it was addressed to.
 type Arrival struct {
 	Request, Engine string
-	// Born is the start of that engine, in Unix milliseconds.
+	// Born is the start time of that engine process, in Unix milliseconds.
 	Born int64
 	At   time.Time
-	// Leaving says that the engine says in the answer that it leaves, Rest what rest the
-	// answer asks for.
+	// Leaving reports whether the answer has the Server-Leaving header. Rest is the
+	// Retry-After of the answer, 0 for none.
 	Leaving bool
 	Rest    time.Duration
 }
 
-// Arrivals returns the requests that reached engines, in their order.
+// Arrivals returns the requests that reached engines, in order of arrival.
 func (j *Journal) Arrivals() []Arrival {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -121,7 +123,7 @@
 	return n
 }
 
-func (j *Journal) arrive(a Arrival) {
+func (j *Journal) recordArrival(a Arrival) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.arrivals = append(j.arrivals, a)
@@ -152,21 +154,21 @@
 	return out
 }
 
-// Turned returns the number of requests turned away without a run.
-func (j *Journal) Turned() int {
+// Rejected returns the number of requests that engines rejected without running them.
+func (j *Journal) Rejected() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.turned
+	return j.rejected
 }
 
-func (j *Journal) turn() {
+func (j *Journal) reject() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.turned++
+	j.rejected++
 }
 
-// Ended returns the number of engines that a request with EndingBody has ended, by
-// their starts.
+// Ended returns the number of engine processes that requests with EndingBody have crashed,
+// counted by engine and start time.
 func (j *Journal) Ended() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -181,54 +183,55 @@
 	return len(starts)
 }
 
-func (j *Journal) begin(r *Run, id string) {
+func (j *Journal) recordRun(r *Run, id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.runs[id] = append(j.runs[id], r)
 }
 
-func (j *Journal) cancel(r *Run) {
+func (j *Journal) markCanceled(r *Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r.Canceled = true
 }
 
-// Engine is a stand-in for a model engine or a plain service's server.
+// Engine is a stand-in for a model engine or for the server of a plain service.
 type Engine struct {
 	ID, Service, Zone string
-	// Events is the number of events of a stream, Pace the pause between two.
+	// Events is the number of events of a stream, Pace the time between two.
 	Events int
 	Pace   time.Duration
-	// StallFor is how long the fault Stall lasts.
+	// StallFor is the delay of the faults Stall and LateEnd.
 	StallFor time.Duration
-	// Public is the address in the engine's entry; its own one if empty.
+	// Public is the ip:port in the engine's store entry; if empty, the one it listens on.
 	Public string
-	// ColdFor is how long the engine is cold after its first start. A cold engine bears
-	// ColdPerSecond requests in any second, and ends at more; 0 for any number.
+	// ColdFor is how long the engine is cold after its first start. A cold engine handles up
+	// to ColdPerSecond requests in any second and crashes at more; 0 for no limit.
 	ColdFor       time.Duration
 	ColdPerSecond int
-	// OnEnd is called before a request with EndingBody ends the engine; nil for nothing.
+	// OnEnd is called before a request with EndingBody crashes the engine; may be nil.
 	OnEnd func()
 
 	journal *Journal
 	owner   Owner
 
-	mu       sync.Mutex
-	listener net.Listener
-	server   *http.Server
-	addr     string
-	born     int64 // Unix milliseconds
-	fault    Fault
-	left     int // requests for which the fault holds, -1 for all
-	// leaving says that this run of the engine says in its answers that it leaves.
+	mu         sync.Mutex
+	listener   net.Listener
+	server     *http.Server
+	addr       string
+	startedAt  int64 // start time in Unix milliseconds
+	fault      Fault
+	faultsLeft int // number of further requests with the fault, -1 for all
+	// leaving is set if this process of the engine sends the Server-Leaving header in its
+	// answers.
 	leaving bool
-	// rest is the Retry-After of the faults Refuse and FakeRefuse, none if 0.
-	rest time.Duration
-	// arrived are the times of the requests that came while the engine was cold.
-	arrived []time.Time
+	// retryDelay is the Retry-After of the faults Refuse and FakeRefuse, none if 0.
+	retryDelay time.Duration
+	// coldArrivals are the times of the requests that came while the engine was cold.
+	coldArrivals []time.Time
 }
 
-// Entry is what the engine writes to the store.
+// Entry returns the engine's store entry with the given state.
 func (e *Engine) Entry(state string) map[string]any {
 	address := e.Public
 	if address == "" {
@@ -236,30 +239,30 @@
 	}
 	return map[string]any{
 		"service": e.Service, "address": address, "zone": e.Zone, "version": "v1",
-		"slots": 8, "state": state, "cold_remaining_ms": e.coldLeft().Milliseconds(), "sequence": 1,
+		"slots": 8, "state": state, "cold_remaining_ms": e.coldRemaining().Milliseconds(), "sequence": 1,
 		"born": e.Born(),
 	}
 }
 
-// coldLeft is how much longer the engine is cold.
-func (e *Engine) coldLeft() time.Duration {
+// coldRemaining returns how much longer the engine is cold.
+func (e *Engine) coldRemaining() time.Duration {
 	return max(time.Until(time.UnixMilli(e.Born()).Add(e.ColdFor)), 0)
 }
 
-// arrive notes a request. It says whether a cold engine bears it.
-func (e *Engine) arrive() bool {
-	if e.ColdPerSecond == 0 || e.coldLeft() == 0 {
+// admit records a request to a cold engine and reports whether it is within ColdPerSecond.
+func (e *Engine) admit() bool {
+	if e.ColdPerSecond == 0 || e.coldRemaining() == 0 {
 		return true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.arrived = append(e.arrived, time.Now())
-	return inSecond(e.arrived) <= e.ColdPerSecond
+	e.coldArrivals = append(e.coldArrivals, time.Now())
+	return countLastSecond(e.coldArrivals) <= e.ColdPerSecond
 }
 
-// inSecond returns how many of the times, in their order, are in the second that ends
-// with the last.
-func inSecond(times []time.Time) int {
+// countLastSecond returns how many of the times, which are in ascending order, are within the
+// second that ends with the last one.
+func countLastSecond(times []time.Time) int {
 	n := 0
 	for _, t := range slices.Backward(times) {
 		if times[len(times)-1].Sub(t) >= time.Second {
@@ -270,42 +273,43 @@
 	return n
 }
 
-// ColdArrivals returns how many requests came while the engine was cold, and the most
-// in a second.
+// ColdArrivals returns how many requests came while the engine was cold, and the largest
+// number of them within one second.
 func (e *Engine) ColdArrivals() (all, most int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i := range e.arrived {
-		most = max(most, inSecond(e.arrived[:i+1]))
+	for i := range e.coldArrivals {
+		most = max(most, countLastSecond(e.coldArrivals[:i+1]))
 	}
-	return len(e.arrived), most
+	return len(e.coldArrivals), most
 }
 
-// SetFault makes the next n requests suffer f, all for n = -1.
+// SetFault applies f to the next n requests, or to all for n = -1.
 func (e *Engine) SetFault(f Fault, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fault, e.left = f, n
+	e.fault, e.faultsLeft = f, n
 }
 
-// SayLeaving makes this run of the engine say in all its answers that it leaves.
+// SayLeaving makes this process of the engine send the Server-Leaving header in all its
+// answers.
 func (e *Engine) SayLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// AskForRest makes the faults Refuse and FakeRefuse ask for a rest, none if 0.
+// AskForRest sets the Retry-After of the faults Refuse and FakeRefuse, 0 for none.
 func (e *Engine) AskForRest(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rest = d
+	e.retryDelay = d
 }
 
-func (e *Engine) restAsked() time.Duration {
+func (e *Engine) retryAfter() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rest
+	return e.retryDelay
 }
 
 func (e *Engine) isLeaving() bool {
@@ -317,17 +321,18 @@
 func (e *Engine) takeFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.left == 0 {
+	if e.faultsLeft == 0 {
 		return None
 	}
-	if e.left > 0 {
-		e.left--
+	if e.faultsLeft > 0 {
+		e.faultsLeft--
 	}
 	return e.fault
 }
 
-// of returns what a fault means for a request that some engine has run, or none has.
-func (f Fault) of(ran bool) Fault {
+// resolve returns the fault that f stands for, given whether some engine has run the request
+// already.
+func (f Fault) resolve(ran bool) Fault {
 	then, ok := map[Fault]Fault{FailThenRefuse: Refuse, FailThenHang: Hang, FailThenDrop: Drop}[f]
 	switch {
 	case !ok:
@@ -345,48 +350,48 @@
 		w.Header().Set("Server-Leaving", "1")
 	}
 	if want := r.Header.Get("Expect-Instance"); want != "" && want != e.ID {
-		e.journal.turn()
+		e.journal.reject()
 		w.Header().Set("Instance-Id", e.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	fault := e.takeFault().of(len(e.journal.Runs(id)) > 0)
+	fault := e.takeFault().resolve(len(e.journal.Runs(id)) > 0)
 	arrival := Arrival{Request: id, Engine: e.ID, Born: e.Born(), At: time.Now(), Leaving: leaving}
-	if rest := e.restAsked(); rest > 0 && (fault == Refuse || fault == FakeRefuse) {
-		arrival.Rest = rest
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	if delay := e.retryAfter(); delay > 0 && (fault == Refuse || fault == FakeRefuse) {
+		arrival.Rest = delay
+		w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', -1, 64))
 	}
-	e.journal.arrive(arrival)
+	e.journal.recordArrival(arrival)
 	if fault == Refuse {
-		e.journal.turn()
+		e.journal.reject()
 		w.Header().Set("Not-Executed", "1")
 		w.Header().Set("Request-Id", id)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !e.arrive() {
+	if !e.admit() {
 		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	body, _ := io.ReadAll(r.Body) // a short body shows in the journal
+	body, _ := io.ReadAll(r.Body) // the journal shows a truncated body
 	run := &Run{
 		Engine: e.ID, Service: e.Service, Began: time.Now(), Born: e.Born(),
 		Method: r.Method, Path: r.RequestURI, Header: r.Header.Clone(), Body: string(body),
 	}
-	e.journal.begin(run, id)
+	e.journal.recordRun(run, id)
 	if run.Body == EndingBody {
-		e.work(r, run, headerTime(r, BeforeHeader, 0))
+		e.sleep(r, run, headerTime(r, BeforeHeader, 0))
 		if e.OnEnd != nil {
 			e.OnEnd()
 		}
 		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	e.answer(w, r, run, fault, id)
+	e.writeAnswer(w, r, run, fault, id)
 }
 
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, run *Run, fault Fault, id string) {
-	if !e.work(r, run, headerTime(r, BeforeHeader, 0)) {
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, run *Run, fault Fault, id string) {
+	if !e.sleep(r, run, headerTime(r, BeforeHeader, 0)) {
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -408,7 +413,7 @@
 		return
 	case Hang:
 		<-r.Context().Done()
-		e.journal.cancel(run)
+		e.journal.markCanceled(run)
 		panic(http.ErrAbortHandler)
 	case Drop:
 		panic(http.ErrAbortHandler)
@@ -416,14 +421,14 @@
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-		e.journal.cancel(run)
+		e.journal.markCanceled(run)
 		panic(http.ErrAbortHandler)
 	case Stall:
 		if r.Header.Get("Model") != "" {
 			w.WriteHeader(http.StatusOK)
 			w.(http.Flusher).Flush()
 		}
-		if !e.work(r, run, e.StallFor) {
+		if !e.sleep(r, run, e.StallFor) {
 			panic(http.ErrAbortHandler)
 		}
 	case WrongID:
@@ -432,16 +437,16 @@
 		h.Del("Engine-Signature")
 	}
 	if r.Header.Get("Model") == "" {
-		e.plain(w, fault, id)
+		e.writePlain(w, fault, id)
 		return
 	}
-	e.stream(w, r, run, fault, id)
+	e.writeStream(w, r, run, fault, id)
 }
 
-func (e *Engine) plain(w http.ResponseWriter, fault Fault, id string) {
+func (e *Engine) writePlain(w http.ResponseWriter, fault Fault, id string) {
 	body := "whole answer to " + id
 	if fault == Unframed {
-		unframed(w, id, "sig-"+e.ID, body)
+		writeUnframed(w, id, "sig-"+e.ID, body)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -452,8 +457,8 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// unframed writes an answer without a length.
-func unframed(w http.ResponseWriter, id, signature, body string) {
+// writeUnframed writes an answer without a Content-Length.
+func writeUnframed(w http.ResponseWriter, id, signature, body string) {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -463,10 +468,10 @@
 	_ = conn.Close()
 }
 
-// Event is the n-th event of the stream that answers a request.
+// Event returns the n-th event of the stream that answers a request, counted from 0.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, run *Run, fault Fault, id string) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, run *Run, fault Fault, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	first := 0
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
@@ -475,7 +480,7 @@
 	pace := headerTime(r, PaceHeader, e.Pace)
 	if wait := headerTime(r, FirstHeader, 0); wait > 0 {
 		w.(http.Flusher).Flush()
-		if !e.work(r, run, wait) {
+		if !e.sleep(r, run, wait) {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -488,11 +493,11 @@
 		}
 		_, _ = io.WriteString(w, event)
 		w.(http.Flusher).Flush()
-		if !e.work(r, run, pace) {
+		if !e.sleep(r, run, pace) {
 			return
 		}
 	}
 	if fault == LateEnd {
-		e.work(r, run, e.StallFor)
+		e.sleep(r, run, e.StallFor)
 	}
 }
--- a/lab/standin/evacuation_test.go
+++ b/lab/standin/evacuation_test.go
@@ -11,9 +11,10 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// Operators emptied a failure domain before work on its power and went on getting
-// requests there: nothing read the store's key for it. Each way to a target is tried:
-// the first choice, a retry, a stream that goes on elsewhere, and the last resorts.
+// Guards against ignored evacuations: operators evacuated a failure domain before work on its
+// power supply, and it still got requests since no node read the store's key for it. Each way
+// to a target is tested: the first choice, a retry, a stream resumed on another engine, and
+// the fallbacks when no usable target is left.
 
 const evacuateZone0 = "op/evacuate/zone-0"
 
@@ -28,12 +29,13 @@
 	return ""
 }
 
-// evacuate begins an evacuation and waits until all nodes know of it.
+// evacuate starts an evacuation and waits until all nodes have read it.
 func evacuate(s *Site, key string) {
 	s.Store.Put(key, map[string]any{})
-	s.Eventually("the evacuation is known", func() bool { return allLogged(s, "failure domain evacuated") })
+	s.Eventually("the nodes have the evacuation", func() bool { return allLogged(s, "failure domain evacuated") })
 }
 
+// allLogged reports whether the logs of all nodes contain text.
 func allLogged(s *Site, text string) bool {
 	for _, n := range s.Nodes {
 		if !strings.Contains(n.Logs.String(), text) {
@@ -43,7 +45,7 @@
 	return true
 }
 
-func TestEvacuatedDomainGetsNothingNew(t *testing.T) {
+func TestEvacuatedDomainGetsNoNewRequests(t *testing.T) {
 	is, s := is.New(t), start(t, 3)
 	evacuate(s, evacuateZone0)
 	for range 30 {
@@ -59,20 +61,20 @@
 	})
 }
 
-func TestRetryLeavesAnEvacuatedDomainAlone(t *testing.T) {
+func TestRetryAvoidsAnEvacuatedDomain(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	evacuate(s, evacuateZone0)
 	s.Plain[1].SetFault(Fail, -1)
 	s.Plain[2].SetFault(Fail, -1)
 	a := s.Nodes[0].Do(Request{Path: SafePath})
-	is.Equal(a.Status, http.StatusInternalServerError) // of the two that are left
+	is.Equal(a.Status, http.StatusInternalServerError) // the failure of the two remaining engines
 	is.Equal(len(s.Journal.Runs(a.ID)), 2)
 	for _, r := range s.Journal.Runs(a.ID) {
 		is.True(r.Engine != s.Plain[0].ID)
 	}
 }
 
-func TestStreamGoesOnOutsideOfAnEvacuatedDomain(t *testing.T) {
+func TestStreamResumesOutsideAnEvacuatedDomain(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	evacuate(s, evacuateZone0)
 	s.Model[1].SetFault(Cut, 1)
@@ -83,14 +85,14 @@
 	}
 }
 
-// Last resorts give way to nothing of an evacuated domain: suspended, unreachable and
-// vanished targets elsewhere are tried first, or the request is refused.
-func TestNothingLeftOutsideIsRefusedAtOnce(t *testing.T) {
+// No fallback uses an evacuated domain: suspended, unreachable and vanished targets elsewhere
+// are tried first, and if there are none the request is refused.
+func TestNoTargetOutsideEvacuatedDomainIsRefused(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	evacuate(s, evacuateZone0)
 	s.Plain[1].Crash()
 	s.Store.Put("servers/"+s.Plain[2].ID, s.Plain[2].Entry("draining"))
-	s.Eventually("the draining is known", func() bool {
+	s.Eventually("the node has the draining entry", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), `"change":"drains"`)
 	})
 	for range 5 {
@@ -98,14 +100,14 @@
 	}
 	s.Store.Remove("servers/" + s.Plain[1].ID)
 	s.Store.Remove("servers/" + s.Plain[2].ID)
-	s.Eventually("they are gone", func() bool {
+	s.Eventually("the node has dropped the targets", func() bool {
 		return strings.Count(s.Nodes[0].Logs.String(), `"change":"gone"`) == 2
 	})
-	begun := time.Now()
+	began := time.Now()
 	a := s.Nodes[0].Do(Request{Path: SafePath})
 	is.Equal(a.Status, http.StatusServiceUnavailable)
 	is.True(a.Header.Get("Retry-After") != "")
-	is.True(time.Since(begun) < time.Second)
+	is.True(time.Since(began) < time.Second)
 	is.True(strings.Contains(s.Nodes[0].Logs.String(), "evacuated failure domains"))
 	for _, id := range s.Journal.IDs() {
 		for _, r := range s.Journal.Runs(id) {
@@ -114,21 +116,21 @@
 	}
 }
 
-// An evacuation that a node can't read itself, or that began before the node did, is
-// known to it all the same.
-func TestEvacuationIsLearntByAllWays(t *testing.T) {
+// A node applies an evacuation that it can't read from the store itself, or that began before
+// the node started.
+func TestEvacuationReachesNodesDespiteStoreFaults(t *testing.T) {
 	tests := map[string]func(s *Site){
-		"turned away": func(s *Site) { s.Store.TurnAway("127.0.0.2", Silent) },
-		"compacted":   func(s *Site) { s.Store.Compact() },
-		"deaf":        func(s *Site) { s.Store.SetDeaf(true) },
+		"node without store": func(s *Site) { s.Store.SetModeFor("127.0.0.2", Silent) },
+		"compacted":          func(s *Site) { s.Store.Compact() },
+		"stalled watches":    func(s *Site) { s.Store.SetDeaf(true) },
 	}
-	for name, trouble := range tests {
+	for name, injectFault := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 3)
-			trouble(s)
+			injectFault(s)
 			evacuate(s, evacuateZone0)
 			s.Store.Remove(evacuateZone0)
-			s.Eventually("its end is known", func() bool { return allLogged(s, "failure domain taken back") })
+			s.Eventually("the nodes have its end", func() bool { return allLogged(s, "failure domain taken back") })
 		})
 	}
 	t.Run("at the start", func(t *testing.T) {
@@ -142,8 +144,9 @@
 	})
 }
 
-// A key that names no known domain, or whose value can't be read, harms nothing else.
-func TestStrayEvacuationHarmsNothing(t *testing.T) {
+// A key that names an unknown domain, or whose value can't be decoded, has no effect on other
+// evacuations or on requests.
+func TestUnusableEvacuationIsIgnored(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	s.Store.Put("op/evacuate/nowhere", []byte{0xff})
 	s.Store.Put("op/evacuate/", map[string]any{})
--- a/lab/standin/lifecycle.go
+++ b/lab/standin/lifecycle.go
@@ -19,7 +19,7 @@
 	return e
 }
 
-// start listens at addr as a new run of the engine.
+// start listens at addr as a new process of the engine.
 func (e *Engine) start(addr string) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -28,43 +28,42 @@
 	server := &http.Server{Handler: http.HandlerFunc(e.serve)}
 	e.mu.Lock()
 	e.addr, e.listener, e.server = ln.Addr().String(), ln, server
-	// Two starts within a millisecond are told apart as well.
-	e.born = max(time.Now().UnixMilli(), e.born+1)
+	// Two starts within the same millisecond get different start times.
+	e.startedAt = max(time.Now().UnixMilli(), e.startedAt+1)
 	e.leaving = false
 	e.mu.Unlock()
-	go func() { _ = server.Serve(ln) }() // ends with Close
+	go func() { _ = server.Serve(ln) }() // returns when the server is closed
 }
 
-// Addr is the ip:port of the engine.
+// Addr returns the ip:port on which the engine listens.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr
 }
 
-// Born is when the engine started last, in Unix milliseconds.
+// Born returns the time of the engine's last start, in Unix milliseconds.
 func (e *Engine) Born() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.born
+	return e.startedAt
 }
 
-// Crash ends the engine with all its connections.
+// Crash stops the engine and closes all its connections.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = e.listener.Close() // the server may not have it yet
+	_ = e.listener.Close() // Serve may not have registered the listener yet
 	_ = e.server.Close()
 }
 
-// Restart crashes the engine and starts it again under its ID, at the address it
-// had.
+// Restart crashes the engine and starts it again with the same ID and address.
 func (e *Engine) Restart() {
 	e.Crash()
 	e.start(e.Addr())
 }
 
-// Move crashes the engine and starts it again under its ID, at another address.
+// Move crashes the engine and starts it again with the same ID at another address.
 func (e *Engine) Move() {
 	e.Crash()
 	e.start("127.0.0.1:0")
--- a/lab/standin/notice_test.go
+++ b/lab/standin/notice_test.go
@@ -12,11 +12,11 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// manyRequests are enough for each target of a service to get some, if it gets any.
+// manyRequests is enough for each usable target of a service to get some requests.
 const manyRequests = 40
 
-// reach sends requests to the first node until one has reached the engine.
-func reach(s *Site, e *Engine, path string) {
+// sendUntilReached sends requests to the first node until one has reached the engine.
+func sendUntilReached(s *Site, e *Engine, path string) {
 	before := s.Journal.ArrivalsAt(e.ID)
 	s.Eventually("a request reaches "+e.ID, func() bool {
 		s.Nodes[0].Do(Request{Path: path, Body: "x"})
@@ -24,8 +24,8 @@
 	})
 }
 
-// getsNothing checks that none of many requests reaches the engine.
-func getsNothing(t *testing.T, s *Site, e *Engine, path string) {
+// checkGetsNothing checks that none of many requests reaches the engine.
+func checkGetsNothing(t *testing.T, s *Site, e *Engine, path string) {
 	t.Helper()
 	before := s.Journal.ArrivalsAt(e.ID)
 	for range manyRequests {
@@ -36,39 +36,39 @@
 	}
 }
 
-// engines returns those that run a path.
-func engines(s *Site, path string) []*Engine {
+// enginesFor returns the engines that serve a path.
+func enginesFor(s *Site, path string) []*Engine {
 	if path == StreamPath || path == ResumePath {
 		return s.Model
 	}
 	return s.Plain
 }
 
-// detour is how a request comes to the first engine after another one.
-type detour struct {
+// failover is a way for a request to reach the first engine after another one.
+type failover struct {
 	path string
-	// others are the faults of the other two.
+	// others are the faults of the other two engines.
 	others [2]Fault
 }
 
-var detours = map[string]detour{
-	"as a retry":               {SafePath, [2]Fault{Fail, Refuse}},
-	"as a stream that goes on": {ResumePath, [2]Fault{Cut, Cut}},
+var failovers = map[string]failover{
+	"as a retry":          {SafePath, [2]Fault{Fail, Refuse}},
+	"as a resumed stream": {ResumePath, [2]Fault{Cut, Cut}},
 }
 
-// getsNothing checks that no request comes to the first engine so.
-func (d detour) getsNothing(t *testing.T, s *Site) {
+// checkGetsNothing checks that no request reaches the first engine by the failover.
+func (d failover) checkGetsNothing(t *testing.T, s *Site) {
 	t.Helper()
-	all := engines(s, d.path)
+	all := enginesFor(s, d.path)
 	for i, fault := range d.others {
 		all[i+1].SetFault(fault, -1)
 	}
-	getsNothing(t, s, all[0], d.path)
+	checkGetsNothing(t, s, all[0], d.path)
 }
 
-// Guards against: requests went on to a target that had said in its answers that it
-// leaves, while its entry in the store still said that it is ready.
-func TestTargetThatSaysItLeavesGetsNothingNew(t *testing.T) {
+// Guards against further requests to a target that sends the Server-Leaving header in its
+// answers while its entry in the store still has the state ready.
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	answers := map[string]struct {
 		path  string
 		fault Fault
@@ -85,37 +85,37 @@
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 1)
 			s.Store.SetMode(Silent)
-			e := engines(s, tt.path)[0]
+			e := enginesFor(s, tt.path)[0]
 			e.SayLeaving()
 			e.SetFault(tt.fault, 1)
-			reach(s, e, tt.path)
-			getsNothing(t, s, e, tt.path)
+			sendUntilReached(s, e, tt.path)
+			checkGetsNothing(t, s, e, tt.path)
 		})
 	}
-	for name, d := range detours {
+	for name, d := range failovers {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 1)
-			engines(s, d.path)[0].SayLeaving()
-			reach(s, engines(s, d.path)[0], d.path)
-			d.getsNothing(t, s)
+			enginesFor(s, d.path)[0].SayLeaving()
+			sendUntilReached(s, enginesFor(s, d.path)[0], d.path)
+			d.checkGetsNothing(t, s)
 		})
 	}
 	t.Run("after its entry has lapsed and come back", func(t *testing.T) {
 		is, s := is.New(t), start(t, 1)
 		e, logs := s.Plain[0], s.Nodes[0].Logs
 		e.SayLeaving()
-		reach(s, e, SafePath)
+		sendUntilReached(s, e, SafePath)
 		s.Store.Remove("servers/" + e.ID)
-		s.Eventually("it is gone", func() bool { return strings.Contains(logs.String(), `"change":"gone"`) })
+		s.Eventually("the target is gone", func() bool { return strings.Contains(logs.String(), `"change":"gone"`) })
 		s.Store.Put("servers/"+e.ID, e.Entry("ready"))
-		s.Eventually("it is back", func() bool { return strings.Count(logs.String(), `"change":"joined"`) > len(s.Engines()) })
-		getsNothing(t, s, e, SafePath)
+		s.Eventually("the target is back", func() bool { return strings.Count(logs.String(), `"change":"joined"`) > len(s.Engines()) })
+		checkGetsNothing(t, s, e, SafePath)
 		e.Restart()
 		s.Store.Put("servers/"+e.ID, e.Entry("ready"))
-		reach(s, e, SafePath) // a later run
+		sendUntilReached(s, e, SafePath) // a new process of the target
 		is.True(!t.Failed())
 	})
-	t.Run("if all leave", func(t *testing.T) {
+	t.Run("if all are leaving", func(t *testing.T) {
 		is, s := is.New(t), start(t, 1)
 		for _, e := range s.Plain {
 			e.SayLeaving()
@@ -123,7 +123,7 @@
 		for _, e := range s.Plain {
 			e.SetFault(Refuse, 1)
 		}
-		s.Eventually("all have said so", func() bool {
+		s.Eventually("all have announced it", func() bool {
 			s.Nodes[0].Do(Request{Path: SafePath})
 			return strings.Count(s.Nodes[0].Logs.String(), "says that it leaves") == len(s.Plain)
 		})
@@ -136,23 +136,23 @@
 	})
 }
 
-// A word that may be another process's takes no target away.
-func TestWordsOfOthersTakeNoTargetAway(t *testing.T) {
+// The Server-Leaving header of an answer that may be another process's is ignored.
+func TestUnverifiedLeavingHeaderIsIgnored(t *testing.T) {
 	for name, fault := range map[string]Fault{"to another request": WrongID, "unsigned": Unsigned} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 1)
 			e := s.Plain[0]
 			e.SayLeaving()
 			e.SetFault(fault, -1)
-			reach(s, e, UnsafePath)
-			reach(s, e, UnsafePath)
+			sendUntilReached(s, e, UnsafePath)
+			sendUntilReached(s, e, UnsafePath)
 		})
 	}
 }
 
-// Guards against: a target that had turned a node away with 503 and asked it for rest got
-// further requests from that node within that time.
-func TestTargetThatAsksForRestGetsNothingMeanwhile(t *testing.T) {
+// Guards against further requests from a node to a target that answered it 503 with a
+// Retry-After, before that time is over.
+func TestTargetGetsNoRequestsDuringRetryAfter(t *testing.T) {
 	const long = time.Minute
 	answers := map[string]struct {
 		path  string
@@ -165,57 +165,57 @@
 	for name, tt := range answers {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 1)
-			e := engines(s, tt.path)[0]
-			asksForRest(s, e, tt.path, tt.fault, long)
-			getsNothing(t, s, e, tt.path)
+			e := enginesFor(s, tt.path)[0]
+			refuseWithRetryAfter(s, e, tt.path, tt.fault, long)
+			checkGetsNothing(t, s, e, tt.path)
 		})
 	}
-	for name, d := range detours {
+	for name, d := range failovers {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 1)
-			asksForRest(s, engines(s, d.path)[0], d.path, Refuse, long)
-			d.getsNothing(t, s)
+			refuseWithRetryAfter(s, enginesFor(s, d.path)[0], d.path, Refuse, long)
+			d.checkGetsNothing(t, s)
 		})
 	}
-	t.Run("while most rest", func(t *testing.T) {
+	t.Run("while most are in cooldown", func(t *testing.T) {
 		s := start(t, 1)
-		asksForRest(s, s.Plain[0], SafePath, Refuse, long)
-		asksForRest(s, s.Plain[1], SafePath, Refuse, long)
-		getsNothing(t, s, s.Plain[0], SafePath)
-		getsNothing(t, s, s.Plain[1], SafePath)
+		refuseWithRetryAfter(s, s.Plain[0], SafePath, Refuse, long)
+		refuseWithRetryAfter(s, s.Plain[1], SafePath, Refuse, long)
+		checkGetsNothing(t, s, s.Plain[0], SafePath)
+		checkGetsNothing(t, s, s.Plain[1], SafePath)
 	})
-	t.Run("if all rest", func(t *testing.T) {
+	t.Run("if all are in cooldown", func(t *testing.T) {
 		is, s := is.New(t), start(t, 1)
-		asksForRest(s, s.Plain[0], SafePath, Refuse, long)
-		asksForRest(s, s.Plain[1], SafePath, Refuse, 2*long)
-		asksForRest(s, s.Plain[2], SafePath, Refuse, 2*long)
+		refuseWithRetryAfter(s, s.Plain[0], SafePath, Refuse, long)
+		refuseWithRetryAfter(s, s.Plain[1], SafePath, Refuse, 2*long)
+		refuseWithRetryAfter(s, s.Plain[2], SafePath, Refuse, 2*long)
 		arrived := len(s.Journal.Arrivals())
 		a := s.Nodes[0].Do(Request{Path: SafePath})
 		is.Equal(a.Status, http.StatusServiceUnavailable)
 		is.True(strings.Contains(a.Body, `"ran":"no"`))
 		after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 		is.NoErr(err)
-		is.True(after > long.Seconds()/2) // of the first whose rest ends
+		is.True(after > long.Seconds()/2) // the Retry-After that ends first
 		is.True(after < 1.5*long.Seconds())
 		is.Equal(len(s.Journal.Arrivals()), arrived)
 	})
 }
 
-// asksForRest has an engine turn a request away and ask for rest.
-func asksForRest(s *Site, e *Engine, path string, f Fault, rest time.Duration) {
-	e.AskForRest(rest)
+// refuseWithRetryAfter lets an engine refuse a request with a Retry-After.
+func refuseWithRetryAfter(s *Site, e *Engine, path string, f Fault, retryAfter time.Duration) {
+	e.AskForRest(retryAfter)
 	e.SetFault(f, 1)
-	reach(s, e, path)
+	sendUntilReached(s, e, path)
 }
 
-// Rest ends with its time, and with the run that asked for it.
-func TestTargetIsUsedAgainAfterItsRest(t *testing.T) {
+// The cooldown of a target ends after its Retry-After, and with the process that sent it.
+func TestTargetIsUsedAgainAfterRetryAfter(t *testing.T) {
 	s := start(t, 1)
 	e := s.Plain[0]
-	asksForRest(s, e, SafePath, Refuse, 300*time.Millisecond)
-	reach(s, e, SafePath)
-	asksForRest(s, e, SafePath, Refuse, time.Hour)
+	refuseWithRetryAfter(s, e, SafePath, Refuse, 300*time.Millisecond)
+	sendUntilReached(s, e, SafePath)
+	refuseWithRetryAfter(s, e, SafePath, Refuse, time.Hour)
 	e.Restart()
 	s.Store.Put("servers/"+e.ID, e.Entry("ready"))
-	reach(s, e, SafePath)
+	sendUntilReached(s, e, SafePath)
 }
--- a/lab/standin/overload_test.go
+++ b/lab/standin/overload_test.go
@@ -12,22 +12,22 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// When the slots of a service are taken, and as many requests wait, further requests are refused at once, are
-// not run, and are told when to come back. When the slots are free again, the next
+// When all slots of a service are taken and as many requests wait, further requests are
+// refused at once, without being run, with a Retry-After. When slots are free again, the next
 // request is served.
 func TestFullServiceRefusesAtOnce(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
-	places := 0
+	capacity := 0
 	for _, e := range s.Plain {
 		e.SetFault(Hang, -1)
-		places += 2 * e.Entry("ready")["slots"].(int)
+		capacity += 2 * e.Entry("ready")["slots"].(int)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
 	var hanging sync.WaitGroup
-	begun := 0
+	sent := 0
 	var refused Answer
-	for refused.Status == 0 && begun <= places {
+	for refused.Status == 0 && sent <= capacity {
 		id := NewID()
 		answers := make(chan Answer, 1)
 		hanging.Go(func() { answers <- s.Nodes[0].DoContext(ctx, Request{Path: UnsafePath, ID: id}) })
@@ -39,17 +39,17 @@
 				return len(s.Journal.Runs(id)) > 0
 			}
 		})
-		begun++
+		sent++
 	}
-	t.Logf("%d of %d places taken", begun-1, places)
-	is.True(begun-1 > places/2 && begun-1 <= places)
+	t.Logf("%d requests accepted, of %d at most", sent-1, capacity)
+	is.True(sent-1 > capacity/2 && sent-1 <= capacity)
 	is.Equal(refused.Status, http.StatusServiceUnavailable)
 	is.Equal(len(s.Journal.Runs(refused.ID)), 0)
 	after, err := strconv.ParseFloat(refused.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(after > 0 && after <= 1) // a third of the caller's 3 s
+	is.True(after > 0 && after <= 1) // a third of the request's deadline of 3 s
 
-	leave()
+	disconnect()
 	hanging.Wait()
 	for _, e := range s.Plain {
 		e.SetFault(None, 0)
--- a/lab/standin/path_test.go
+++ b/lab/standin/path_test.go
@@ -16,13 +16,14 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
+// start returns a site with nodes that are ready.
 func start(t *testing.T, nodes int) *Site {
 	s := NewSite(t)
 	s.Start(nodes)
 	return s
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestsAreForwarded(t *testing.T) {
 	is, s := is.New(t), start(t, 3)
 	for _, n := range s.Nodes {
 		for _, path := range []string{StreamPath, ResumePath, UnsafePath, SafePath} {
@@ -45,8 +46,8 @@
 	}
 }
 
-// Engines get the workspace's name for its key, what is left of the time, and
-// nothing that only the node may set from the caller.
+// Engines get the workspace's name instead of the API key, the remaining time until the
+// deadline, and none of the headers that only the node may set.
 func TestHeadersOfARequest(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	forged := http.Header{
@@ -60,7 +61,7 @@
 	is.Equal(h.Get("Tenant"), Tenant)
 	is.Equal(h.Get("Authorization"), "")
 	is.Equal(h.Get("Expect-Instance"), s.Journal.Runs(a.ID)[0].Engine)
-	is.Equal(h.Get("Request-Priority"), "2") // the workspace's, before the route's
+	is.Equal(h.Get("Request-Priority"), "2") // the workspace's priority overrides the route's
 	is.Equal(h.Get("X-Own"), "kept")
 	for _, name := range []string{"Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Kv-Fetch", "X-Hop"} {
 		is.Equal(h.Get(name), "")
@@ -91,8 +92,9 @@
 	}
 }
 
-// A refusal says "not run" only if nothing ran, and then when to come back.
-func TestTruthOfRefusals(t *testing.T) {
+// A refusal has status 503 and a Retry-After only if no engine ran the request; else the node
+// answers with another status.
+func TestRefusalsStateWhetherTheRequestRan(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fault Fault
@@ -102,7 +104,7 @@
 	}{
 		{"refused by all", Refuse, UnsafePath, http.StatusServiceUnavailable, 0},
 		{"refused by all, stream", Refuse, StreamPath, http.StatusServiceUnavailable, 0},
-		{"a 503 without the engine's word", FakeRefuse, UnsafePath, http.StatusBadGateway, 1},
+		{"a 503 without Not-Executed", FakeRefuse, UnsafePath, http.StatusBadGateway, 1},
 		{"dropped", Drop, UnsafePath, http.StatusBadGateway, 1},
 		{"dropped stream", Drop, StreamPath, http.StatusBadGateway, 1},
 		{"cut", Cut, UnsafePath, http.StatusBadGateway, 1},
@@ -122,16 +124,16 @@
 			is.NoErr(a.Err)
 			is.Equal(a.Status, tt.want)
 			is.Equal(len(s.Journal.Runs(a.ID)), tt.runs)
-			promised := a.Status == http.StatusServiceUnavailable
-			is.Equal(a.Header.Get("Retry-After") != "", promised)
+			retryable := a.Status == http.StatusServiceUnavailable
+			is.Equal(a.Header.Get("Retry-After") != "", retryable)
 			signed := a.Header.Get("Engine-Signature") != ""
 			is.Equal(signed, a.Status == http.StatusInternalServerError || a.Status == http.StatusOK)
 		})
 	}
 }
 
-// One bad engine of three does no harm to what may be sent again.
-func TestOneFaultIsHidden(t *testing.T) {
+// Retries mask a fault of one engine out of three, for requests that may be sent again.
+func TestOneFaultyEngineIsMasked(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fault Fault
@@ -161,8 +163,8 @@
 	}
 }
 
-// A stream that breaks off breaks at the caller as well.
-func TestCutStreamBreaksAtTheCaller(t *testing.T) {
+// If a stream is truncated, the node aborts the connection to the caller.
+func TestTruncatedStreamIsAbortedAtTheCaller(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Model {
 		e.SetFault(Cut, -1)
@@ -173,8 +175,8 @@
 	is.Equal(len(s.Journal.Runs(a.ID)), 1)
 }
 
-// A resumable stream goes on at another engine: each event once, in order.
-func TestCutStreamIsResumed(t *testing.T) {
+// A resumable stream is resumed on another engine: each event once, in order.
+func TestTruncatedStreamIsResumed(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Model {
 		e.SetFault(Cut, 1)
@@ -184,8 +186,8 @@
 	runs := s.Journal.Runs(a.ID)
 	is.Equal(len(runs), 2)
 	is.Equal(runs[1].Header.Get("Last-Event-Id"), "1")
-	// The second engine cuts as well, at its third event; both attempts of the
-	// route are used up then.
+	// The second engine truncates the stream as well, at its third event; then both attempts
+	// of the route are used up.
 	is.True(strings.HasPrefix(WholeStream(a.ID, 5), a.Body))
 	is.True(a.Err != nil)
 	b := s.Nodes[0].Do(Request{Path: ResumePath, Body: "x"})
@@ -193,7 +195,7 @@
 	is.Equal(b.Body, WholeStream(b.ID, 5))
 }
 
-// The address of an engine that is gone belongs to another one now.
+// The address of an engine that is gone is reused by another engine.
 func TestReusedAddress(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Plain {
@@ -202,11 +204,11 @@
 	a := s.Nodes[0].Do(Request{Path: UnsafePath, Body: "x"})
 	is.Equal(a.Status, http.StatusServiceUnavailable)
 	is.Equal(len(s.Journal.Runs(a.ID)), 0)
-	is.True(s.Journal.Turned() > 0)
+	is.True(s.Journal.Rejected() > 0)
 }
 
-// A caller that leaves ends its run at once, before the first event and after.
-func TestLeavingCallerCancels(t *testing.T) {
+// A caller that disconnects cancels its run at once, before the first event and after.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	for name, fault := range map[string]Fault{"before the answer": Hang, "midway": None} {
 		t.Run(name, func(t *testing.T) {
 			is, s := is.New(t), start(t, 1)
@@ -225,7 +227,7 @@
 	}
 }
 
-// The route's timeout ends a request whatever the caller's deadline says.
+// The route's timeout ends a request even if the caller's deadline is later.
 func TestRouteTimeout(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
 	s.Configure(func(cfg map[string]any) {
@@ -244,14 +246,14 @@
 	}
 }
 
-// What one request on a kept connection set must not end the next one.
-func TestKeptConnectionOutlivesItsRequests(t *testing.T) {
+// The deadline of one request on a keep-alive connection must not end the next request.
+func TestKeepAliveConnectionHasNoStaleDeadline(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	conn, err := net.Dial("tcp", s.Nodes[0].Config.Listen)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
-	ask := func(path, deadline string) int {
+	send := func(path, deadline string) int {
 		_, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nDeadline-Ms: %s\r\nAuthorization: Bearer %s\r\n\r\n",
 			path, Host, NewID(), deadline, Key)
 		is.NoErr(err)
@@ -261,14 +263,15 @@
 		is.NoErr(err)
 		return resp.StatusCode
 	}
-	is.Equal(ask(SafePath, "100"), http.StatusOK)
-	time.Sleep(500 * time.Millisecond) // beyond all that the first one may take
-	is.Equal(ask("/none/", "3000"), http.StatusNotFound)
-	is.Equal(ask(SafePath, "3000"), http.StatusOK)
+	is.Equal(send(SafePath, "100"), http.StatusOK)
+	time.Sleep(500 * time.Millisecond) // beyond the deadline of the first request
+	is.Equal(send("/none/", "3000"), http.StatusNotFound)
+	is.Equal(send(SafePath, "3000"), http.StatusOK)
 }
 
-// When all keys were taken away, nobody gets in without one.
-func TestNoKeyIsLeft(t *testing.T) {
+// If no workspace has a key left, requests with or without a key are refused with 401, except
+// on open routes.
+func TestWorkspaceWithoutKeys(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
 	s.Configure(func(cfg map[string]any) {
 		cfg["tenants"] = []any{map[string]any{"name": Tenant, "api_keys": []string{}}}
--- a/lab/standin/ports.go
+++ b/lab/standin/ports.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// firstPort is the first of the ports that nodes listen on. They end before
-	// FirstEphemeralPort: a port beyond it may go to an outgoing connection between the
+	// firstPort is the start of the port range that nodes listen on. The range ends before
+	// FirstEphemeralPort: a higher port may be assigned to an outgoing connection between the
 	// choice of the port and the start of its node.
 	firstPort = 15000
-	// FirstEphemeralPort is the first port that Linux gives to outgoing connections, by
-	// default.
+	// FirstEphemeralPort is the first port of Linux's default range for outgoing connections.
 	FirstEphemeralPort = 32768
-	// portTries is how many ports are tried; each is free on most addresses.
+	// portTries is the number of ports tried; most ports are free on most addresses.
 	portTries = 20
 )
 
-// lastPort counts the ports given from a random one on, so that none is given twice by a
-// process before the range is used up: a port is free until its node listens.
+// lastPort is the last port handed out, as an offset into the range. It starts at a random
+// offset and counts up, so that a process hands out no port twice before the range is used up.
+// Trying whether a port is free is not enough, since it stays free until its node listens.
 var lastPort atomic.Uint32
 
 func init() { lastPort.Store(rand.Uint32N(FirstEphemeralPort - firstPort)) }
 
-// nextPort returns the next port of the range.
+// nextPort returns the next port of the range, cyclically.
 func nextPort() int { return firstPort + int(lastPort.Add(1)%(FirstEphemeralPort-firstPort)) }
 
-// freePort returns a port that is free on the addresses of n nodes.
+// freePort returns a port that is free on the IPs of the nodes 0 to n-1.
 func freePort(t Owner, n int) int {
 	ips := make([]string, n)
 	for i := range ips {
@@ -37,7 +37,7 @@
 	return freePortOn(t, ips...)
 }
 
-// FreeAddr returns a free ip:port of an IP.
+// FreeAddr returns an ip:port with a port that is free on the IP.
 func FreeAddr(t Owner, ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(freePortOn(t, ip)))
 }
@@ -46,7 +46,7 @@
 func freePortOn(t Owner, ips ...string) int {
 	t.Helper()
 	for range portTries {
-		if port := nextPort(); freeOn(port, ips) {
+		if port := nextPort(); isFreeOn(port, ips) {
 			return port
 		}
 	}
@@ -54,8 +54,8 @@
 	return 0
 }
 
-// freeOn says whether a port is free on all of the IPs.
-func freeOn(port int, ips []string) bool {
+// isFreeOn reports whether a port is free on all of the IPs.
+func isFreeOn(port int, ips []string) bool {
 	for _, ip := range ips {
 		ln, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(port)))
 		if err != nil {
--- a/lab/standin/ports_test.go
+++ b/lab/standin/ports_test.go
@@ -10,9 +10,9 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// Guards against: a node could not listen since one of its own connections to the store,
-// which it opens first, had been given the port as its local one.
-func TestFreeAddrIsNoPortOfOutgoingConnections(t *testing.T) {
+// Guards against a port from the ephemeral range: a node could not listen since one of its own
+// connections to the store, which it opens first, had been given the port as its local one.
+func TestFreeAddrIsNotEphemeral(t *testing.T) {
 	is := is.New(t)
 	const ip = "127.0.0.2"
 	for range 50 {
@@ -28,14 +28,14 @@
 	}
 }
 
-// Guards against: two of a node's listeners were given the same port, since neither
-// listened yet when the other's was chosen.
-func TestFreeAddrIsGivenOnce(t *testing.T) {
+// Guards against two listeners of a node with the same port: neither was listening yet when
+// the other's port was chosen.
+func TestFreeAddrIsUnique(t *testing.T) {
 	is := is.New(t)
-	given := make(map[string]bool)
+	seen := make(map[string]bool)
 	for range 1000 {
 		addr := FreeAddr(t, "127.0.0.2")
-		is.True(!given[addr])
-		given[addr] = true
+		is.True(!seen[addr])
+		seen[addr] = true
 	}
 }
--- a/lab/standin/belief_test.go
+++ b/lab/standin/propagation_test.go
@@ -15,11 +15,13 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-func (n nodeOf) serves(path string) bool {
+// serves reports whether a request to path is answered with 200.
+func (n testNode) serves(path string) bool {
 	return n.Do(Request{Path: path}).Status == http.StatusOK
 }
 
-type nodeOf struct{ *Node }
+// testNode adds helper methods to Node.
+type testNode struct{ *Node }
 
 func TestConfigurationTakesEffectEverywhere(t *testing.T) {
 	is, s := is.New(t), start(t, 3)
@@ -28,46 +30,46 @@
 	}
 	s.Configure(AddRoute)
 	for _, n := range s.Nodes {
-		s.Eventually("the route is served", func() bool { return nodeOf{n}.serves(LaterPath) })
+		s.Eventually("the route is served", func() bool { return testNode{n}.serves(LaterPath) })
 	}
 }
 
-// A configuration that can't be used leaves the last one in force.
+// An unusable configuration leaves the previous one in force.
 func TestUnusableConfiguration(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	s.Store.Put("op/config", []byte("{not JSON"))
-	s.Eventually("the fault is logged", func() bool {
+	s.Eventually("the error is logged", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), "value in the store is unusable")
 	})
-	is.True(nodeOf{s.Nodes[0]}.serves(SafePath))
+	is.True(testNode{s.Nodes[0]}.serves(SafePath))
 	s.Configure(AddRoute)
-	s.Eventually("a good one follows", func() bool { return nodeOf{s.Nodes[0]}.serves(LaterPath) })
+	s.Eventually("the next valid configuration is in force", func() bool { return testNode{s.Nodes[0]}.serves(LaterPath) })
 }
 
-// Older versions never come back, whatever their revision.
+// A configuration with an older version is ignored, even at a newer store revision.
 func TestOlderVersionIsIgnored(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	s.Configure(AddRoute)
-	s.Eventually("the route is served", func() bool { return nodeOf{s.Nodes[0]}.serves(LaterPath) })
+	s.Eventually("the route is served", func() bool { return testNode{s.Nodes[0]}.serves(LaterPath) })
 	s.Configure(func(cfg map[string]any) { cfg["version"] = 1 })
 	s.Store.Put("servers/i-marker", s.Plain[0].Entry("draining"))
-	s.Eventually("what came after is known", func() bool {
+	s.Eventually("the node has the later change", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), "i-marker")
 	})
-	is.True(nodeOf{s.Nodes[0]}.serves(LaterPath))
+	is.True(testNode{s.Nodes[0]}.serves(LaterPath))
 }
 
-// Nodes that the store turns away, in whatever way, learn from the others.
-func TestNodeThatIsTurnedAwayLearnsFromPeers(t *testing.T) {
+// A node whose calls the store fails, in any mode, gets changes from its peers.
+func TestNodeWithoutStoreLearnsFromPeers(t *testing.T) {
 	for name, mode := range map[string]Mode{"busy": Busy, "limited": Limited, "silent": Silent, "reset": Reset} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 3)
-			s.Store.TurnAway("127.0.0.2", mode)
+			s.Store.SetModeFor("127.0.0.2", mode)
 			s.Configure(AddRoute)
-			s.Eventually("the route is served", func() bool { return nodeOf{s.Nodes[0]}.serves(LaterPath) })
+			s.Eventually("the route is served", func() bool { return testNode{s.Nodes[0]}.serves(LaterPath) })
 			s.Store.Put("servers/"+s.Plain[0].ID, s.Plain[0].Entry("draining"))
 			s.Store.Put("servers/"+s.Plain[1].ID, s.Plain[1].Entry("draining"))
-			s.Eventually("the leaving is known", func() bool {
+			s.Eventually("the node has the draining entries", func() bool {
 				a := s.Nodes[0].Do(Request{Path: SafePath})
 				return s.Journal.Runs(a.ID)[0].Engine == s.Plain[2].ID
 			})
@@ -75,36 +77,36 @@
 	}
 }
 
-// A watch that hears nothing, and then finds its history gone, is noticed.
-func TestDeafWatchIsNoticed(t *testing.T) {
+// A watch that returns no events, and whose history is then compacted, is detected as stalled.
+func TestStalledWatchIsDetected(t *testing.T) {
 	s := start(t, 2)
 	s.Store.SetDeaf(true)
 	s.Configure(AddRoute)
 	for _, n := range s.Nodes {
-		s.Eventually("the route is served", func() bool { return nodeOf{n}.serves(LaterPath) })
+		s.Eventually("the route is served", func() bool { return testNode{n}.serves(LaterPath) })
 	}
 	s.Store.Compact()
 	s.Store.SetDeaf(false)
 	s.Configure()
 	for _, n := range s.Nodes {
-		s.Eventually("the route is gone", func() bool { return !nodeOf{n}.serves(LaterPath) })
+		s.Eventually("the route is gone", func() bool { return !testNode{n}.serves(LaterPath) })
 	}
 }
 
-func TestOutageOfTheStore(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	is, s := is.New(t), start(t, 2)
 	s.Store.SetMode(Silent)
 	for _, n := range s.Nodes {
-		is.True(nodeOf{n}.serves(SafePath))
+		is.True(testNode{n}.serves(SafePath))
 	}
-	// All entries lapse meanwhile; some are back when the store is.
+	// All entries are removed during the outage; one is back when the store is.
 	for _, e := range s.Engines() {
 		s.Store.Remove("servers/" + e.ID)
 	}
 	s.Store.Put("servers/"+s.Plain[0].ID, s.Plain[0].Entry("ready"))
 	s.Store.SetMode(Serving)
 	for _, n := range s.Nodes {
-		s.Eventually("the others are gone after their grace", func() bool {
+		s.Eventually("the other targets are dropped after their grace period", func() bool {
 			return strings.Count(n.Logs.String(), `"source":"grace"`) > 0
 		})
 		a := n.Do(Request{Path: SafePath})
@@ -113,11 +115,11 @@
 	}
 }
 
-func TestDrainingTargetGetsNothingNew(t *testing.T) {
+func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	s.Store.Put("servers/"+s.Plain[0].ID, s.Plain[0].Entry("draining"))
 	s.Store.Remove("servers/" + s.Plain[1].ID)
-	s.Eventually("both are known to leave", func() bool {
+	s.Eventually("the node has both changes", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), `"target":"`+s.Plain[1].ID+`","service":"plain-pool","addr":"`+s.Plain[1].Addr()+`","change":"lapses"`)
 	})
 	for range 20 {
@@ -126,7 +128,7 @@
 	}
 }
 
-func TestCrashedTargetIsPassedOver(t *testing.T) {
+func TestCrashedTargetIsSkipped(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	s.Plain[0].Crash()
 	for range 20 {
@@ -135,11 +137,12 @@
 	}
 }
 
-// A stop cuts nothing: streams in progress end whole, and requests on kept connections are
-// answered, or their connections closed unread, or refused if they cross the moment from
-// which the node takes no more. Such a refusal is true, its caller is told to come back at
-// once on a new connection, and is served by the other node.
-func TestStopCutsNothing(t *testing.T) {
+// A stopping node aborts no request. Streams in progress complete. A request on a keep-alive
+// connection is answered, or its connection is closed before the request is read, or it is
+// refused if it arrives just as the node stops to accept requests. The refusal states
+// correctly that the request did not run, closes the connection and has a short Retry-After;
+// the other node serves such a request at once.
+func TestStopAbortsNoRequest(t *testing.T) {
 	is, s := is.New(t), start(t, 2)
 	for _, e := range s.Model {
 		e.Events, e.Pace = 20, 50*time.Millisecond
@@ -147,12 +150,12 @@
 	node := s.Nodes[0]
 	var wg sync.WaitGroup
 	answers := make(chan Answer, 1000)
-	begin := time.Now()
+	began := time.Now()
 	const callers = 8
 	refusals := 0
 	for range callers {
 		wg.Go(func() {
-			for time.Since(begin) < 2*Grace {
+			for time.Since(began) < 2*Grace {
 				a := node.Do(Request{Path: UnsafePath, Body: "x"})
 				answers <- a
 				if a.Status == 0 {
@@ -170,7 +173,7 @@
 	close(answers)
 	for a := range answers {
 		if a.Status == 0 {
-			is.Equal(len(s.Journal.Runs(a.ID)), 0) // not taken: the caller may go elsewhere
+			is.Equal(len(s.Journal.Runs(a.ID)), 0) // not run: the caller may retry on another node
 			continue
 		}
 		is.NoErr(a.Err)
@@ -181,15 +184,15 @@
 		}
 		is.Equal(a.Status, http.StatusOK)
 	}
-	t.Log("requests that crossed the moment from which the node takes no more:", refusals)
-	is.True(refusals <= callers) // each ends its connection
+	t.Log("requests refused as the node stopped to accept requests:", refusals)
+	is.True(refusals <= callers) // each closes its connection
 }
 
-// mostStopDelay is the longest that a caller of a stopping node is told to wait, in
-// seconds: the other nodes can serve it at once.
-const mostStopDelay = 0.05
+// maxStopRetryAfter is the longest Retry-After of a stopping node, in seconds: the other nodes
+// can serve the request at once.
+const maxStopRetryAfter = 0.05
 
-// checkStopRefusal checks the refusal of a request by a node that stops.
+// checkStopRefusal checks a stopping node's refusal of a request.
 func checkStopRefusal(is *is.I, s *Site, a Answer) {
 	is.Helper()
 	is.Equal(len(s.Journal.Runs(a.ID)), 0)
@@ -200,63 +203,63 @@
 	is.True(a.Closes)
 	wait, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(wait > 0 && wait <= mostStopDelay)
+	is.True(wait > 0 && wait <= maxStopRetryAfter)
 	is.Equal(s.Nodes[1].Do(Request{Path: UnsafePath, Body: "x"}).Status, http.StatusOK)
 }
 
-// Parts of a prompt stay where they are when engines join, and are fetched
-// from a leaving engine.
-func TestPartsAreKept(t *testing.T) {
+// When engines join, requests with a prompt still go to the engine that has its parts cached.
+// When that engine is draining, the parts are fetched from it.
+func TestCachedPartsAreReused(t *testing.T) {
 	is, s := is.New(t), start(t, 2)
 	engineOf := func(n *Node) Run {
 		a := n.Do(Request{Path: StreamPath, Body: "x"})
 		return s.Journal.Runs(a.ID)[0]
 	}
-	home := engineOf(s.Nodes[0]).Engine
+	holder := engineOf(s.Nodes[0]).Engine
 	for i := range 6 {
 		e := NewEngine(t, "i-new-"+string(rune('a'+i)), ModelPool, "zone-0", s.Journal)
 		s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 	}
-	s.Eventually("they are known", func() bool { return strings.Contains(s.Nodes[1].Logs.String(), "i-new-f") })
-	is.Equal(engineOf(s.Nodes[0]).Engine, home)
-	s.Eventually("the other node has heard", func() bool { return engineOf(s.Nodes[1]).Engine == home })
-	time.Sleep(time.Second) // the parts settle
+	s.Eventually("the node has the new entries", func() bool { return strings.Contains(s.Nodes[1].Logs.String(), "i-new-f") })
+	is.Equal(engineOf(s.Nodes[0]).Engine, holder)
+	s.Eventually("the other node has the parts' engine", func() bool { return engineOf(s.Nodes[1]).Engine == holder })
+	time.Sleep(time.Second) // until the parts count as cached
 	var leaving *Engine
 	for _, e := range s.Model {
-		if e.ID == home {
+		if e.ID == holder {
 			leaving = e
 		}
 	}
-	s.Store.Put("servers/"+home, leaving.Entry("draining"))
-	s.Eventually("the leaving is known", func() bool {
+	s.Store.Put("servers/"+holder, leaving.Entry("draining"))
+	s.Eventually("the node has the draining entries", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), leaving.Addr()+`","change":"drains"`)
 	})
 	run := engineOf(s.Nodes[0])
-	is.True(run.Engine != home)
+	is.True(run.Engine != holder)
 	is.Equal(run.Header.Get("Kv-Fetch"), leaving.Addr())
 }
 
-// A store that is back is known to be back before it has anything to tell, so
-// that what vanishes later is not taken for a lapse of the outage.
-func TestReturnOfTheStoreIsNoticed(t *testing.T) {
+// The end of an outage is detected before the first change to the store, so that an entry
+// removed later is not taken for one that lapsed during the outage.
+func TestStoreRecoveryIsDetected(t *testing.T) {
 	s := start(t, 1)
 	s.Store.SetMode(Busy)
 	logs := s.Nodes[0].Logs
-	s.Eventually("the store is lost", func() bool { return strings.Contains(logs.String(), "store lost") })
+	s.Eventually("the outage is detected", func() bool { return strings.Contains(logs.String(), "store lost") })
 	s.Store.SetMode(Serving)
-	s.Eventually("the store is back", func() bool { return strings.Contains(logs.String(), "store regained") })
+	s.Eventually("the recovery is detected", func() bool { return strings.Contains(logs.String(), "store regained") })
 }
 
-// All nodes stop at once; those that begin afterwards send each prompt where
-// its parts are, though engines have joined since.
-func TestPartsOutliveAllNodes(t *testing.T) {
+// All nodes stop at once; nodes started afterwards send each prompt to the engine that has its
+// parts cached, though engines have joined meanwhile.
+func TestCachedPartsAreKnownAfterAllNodesRestart(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	engineOf := func(n *Node) string {
 		a := n.Do(Request{Path: StreamPath, Body: "x"})
 		return s.Journal.Runs(a.ID)[0].Engine
 	}
-	home := engineOf(s.Nodes[0])
-	s.Eventually("the parts are noted", func() bool {
+	holder := engineOf(s.Nodes[0])
+	s.Eventually("the nodes' snapshot is in the store", func() bool {
 		engineOf(s.Nodes[0])
 		return s.Store.Has("knapweedgw/note")
 	})
@@ -266,14 +269,14 @@
 		s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 	}
 	s.Start(1)
-	is.Equal(engineOf(s.Nodes[0]), home)
+	is.Equal(engineOf(s.Nodes[0]), holder)
 }
 
-// A note that can't be used is left aside.
-func TestUnusableNote(t *testing.T) {
+// An unusable snapshot (the store's key knapweedgw/note) is ignored.
+func TestUnusableSnapshotIsIgnored(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
 	s.Store.Put("knapweedgw/note", []byte("\xff\x00"))
 	s.Start(1)
-	is.True(nodeOf{s.Nodes[0]}.serves(SafePath))
+	is.True(testNode{s.Nodes[0]}.serves(SafePath))
 	is.True(strings.Contains(s.Nodes[0].Logs.String(), "note in the store is unusable"))
 }
--- a/lab/standin/regions_test.go
+++ b/lab/standin/regions_test.go
@@ -12,11 +12,12 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// Requests of a workspace that is confined to one region went wherever there was room:
-// the configuration's regions were not read.
+// Guards against ignored region limits: the configuration's allowed regions were not read, and
+// requests of a workspace that is confined to one region went to any region with free
+// capacity.
 
-// confine is a change of the configuration that confines the route of SafePath and the
-// workspace to regions.
+// confine is a change to the configuration that sets the allowed regions of the SafePath route
+// and of the workspace.
 func confine(route, workspace []string) func(cfg map[string]any) {
 	return func(cfg map[string]any) {
 		for _, r := range cfg["routes"].([]any) {
@@ -28,10 +29,10 @@
 	}
 }
 
-func TestRegionsOfRouteAndWorkspaceBind(t *testing.T) {
+func TestAllowedRegionsOfRouteAndWorkspace(t *testing.T) {
 	tests := map[string]struct {
 		route, workspace []string
-		zone             string // where requests go, empty for nowhere
+		zone             string // the zone that serves the requests, empty for none
 	}{
 		"route":     {route: []string{"north"}, zone: "zone-0"},
 		"workspace": {workspace: []string{"south"}, zone: "zone-1"},
@@ -41,7 +42,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
-			s.Adjust = func(c *config.Router) {
+			s.AdjustConfig = func(c *config.Router) {
 				c.Regions = map[string]string{"zone-0": "north", "zone-1": "south", "zone-2": "east"}
 			}
 			s.Configure(confine(tt.route, tt.workspace))
--- a/lab/standin/restart_test.go
+++ b/lab/standin/restart_test.go
@@ -11,8 +11,9 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// home returns the engine that runs the stream of the shared prompt.
-func home(s *Site, n *Node) *Engine {
+// holderOf returns the engine that runs the stream of the shared prompt and so caches its
+// parts.
+func holderOf(s *Site, n *Node) *Engine {
 	run := streamRun(s, n)
 	for _, e := range s.Model {
 		if e.ID == run.Engine {
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// streamRun has the shared prompt run through a node.
+// streamRun sends a request with the shared prompt to a node and returns its run.
 func streamRun(s *Site, n *Node) Run {
 	s.T.Helper()
 	a := n.Do(Request{Path: StreamPath, Body: "x"})
@@ -33,16 +34,16 @@
 	return s.Journal.Runs(a.ID)[0]
 }
 
-// settle waits until the engine has surely read the prompt, as the node sees it.
-func settle(s *Site, n *Node, e *Engine) {
+// awaitCached waits until the node counts the prompt's parts as cached on the engine.
+func awaitCached(s *Site, n *Node, e *Engine) {
 	s.T.Helper()
-	s.Eventually("the parts are known to be kept", func() bool {
+	s.Eventually("the node counts the parts as cached", func() bool {
 		_ = streamRun(s, n)
 		return strings.Contains(lastAnswered(n), `"target":"`+e.ID+`"`) && strings.Contains(lastAnswered(n), `"kept":900`)
 	})
 }
 
-// lastAnswered is the newest line on an answered request of a node's log.
+// lastAnswered returns the last log line of a node for an answered request.
 func lastAnswered(n *Node) string {
 	logs := n.Logs.String()
 	at := strings.LastIndex(logs, `"msg":"answered"`)
@@ -53,28 +54,28 @@
 	return line
 }
 
-// awaitMarker waits until a node knows what was written to the store by now.
+// awaitMarker waits until a node has all that was written to the store before the marker.
 func awaitMarker(s *Site, n *Node, marker string) {
 	s.T.Helper()
-	s.Eventually("the node knows "+marker, func() bool { return strings.Contains(n.Logs.String(), marker) })
+	s.Eventually("the node has "+marker, func() bool { return strings.Contains(n.Logs.String(), marker) })
 }
 
-// mark writes an entry of an engine that leaves, by which a node shows that it
-// knows all that was written before.
+// mark writes the entry of a draining engine as a marker: a node that logs it has all that was
+// written before.
 func mark(s *Site, id string) {
 	s.Store.Put("servers/"+id, s.Plain[0].Entry("draining"))
 }
 
-// keptNothing says whether the node took the target of its newest request for one
-// that keeps nothing, and fetched nothing from it.
-func keptNothing(n *Node, e *Engine) bool {
+// cachedNothing reports whether the node expected no cached parts on the target of its last
+// answered request, and fetched none from e.
+func cachedNothing(n *Node, e *Engine) bool {
 	line := lastAnswered(n)
 	return strings.Contains(line, `"kept":0`) && !strings.Contains(line, `"fetch_from":"`+e.ID+`"`)
 }
 
-// An engine that starts again under its ID keeps nothing of before, on every node,
-// however it comes back.
-func TestRestartedEngineKeepsNothing(t *testing.T) {
+// An engine that restarts with its ID has lost its cached parts; every node accounts for that,
+// whatever address the engine comes back at.
+func TestRestartedEngineHasNothingCached(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		restart func(s *Site, e *Engine)
@@ -93,23 +94,23 @@
 			e.Restart()
 			s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 		}},
-		{"behind a cut", func(s *Site, e *Engine) {
+		{"during a store outage", func(s *Site, e *Engine) {
 			s.Store.SetMode(Silent)
 			e.Restart()
 			s.Store.SetMode(Serving)
 			s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 		}},
-		{"while a node is turned away", func(s *Site, e *Engine) {
-			s.Store.TurnAway("127.0.0.2", Silent)
+		{"while a node has no store", func(s *Site, e *Engine) {
+			s.Store.SetModeFor("127.0.0.2", Silent)
 			e.Restart()
 			s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is, s := is.New(t), start(t, 2)
-			e := home(s, s.Nodes[0])
+			e := holderOf(s, s.Nodes[0])
 			for _, n := range s.Nodes {
-				settle(s, n, e)
+				awaitCached(s, n, e)
 			}
 			tt.restart(s, e)
 			mark(s, "i-marker")
@@ -117,17 +118,17 @@
 				awaitMarker(s, n, "i-marker")
 			}
 			_ = streamRun(s, s.Nodes[0])
-			is.True(keptNothing(s.Nodes[0], e))
-			settle(s, s.Nodes[1], home(s, s.Nodes[0])) // what is read anew counts
+			is.True(cachedNothing(s.Nodes[0], e))
+			awaitCached(s, s.Nodes[1], holderOf(s, s.Nodes[0])) // parts read since the restart count
 		})
 	}
 }
 
-// Parts are fetched from a leaving engine, but not from the run that is over.
+// Parts are fetched from a draining engine, but not if it has restarted since it cached them.
 func TestNothingIsFetchedFromARunThatIsOver(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
-	e := home(s, s.Nodes[0])
-	settle(s, s.Nodes[0], e)
+	e := holderOf(s, s.Nodes[0])
+	awaitCached(s, s.Nodes[0], e)
 	e.Restart()
 	s.Store.Put("servers/"+e.ID, e.Entry("draining"))
 	mark(s, "i-marker")
@@ -137,11 +138,11 @@
 	is.Equal(run.Header.Get("Kv-Fetch"), "")
 }
 
-// A note of the parts that an engine kept says nothing of its next start.
-func TestNoteSaysNothingOfTheNextStart(t *testing.T) {
+// The nodes' snapshot of an engine's cached parts does not apply to the engine's next process.
+func TestSnapshotDoesNotApplyToARestartedEngine(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
-	e := home(s, s.Nodes[0])
-	s.Eventually("the parts are noted", func() bool {
+	e := holderOf(s, s.Nodes[0])
+	s.Eventually("the nodes' snapshot is in the store", func() bool {
 		_ = streamRun(s, s.Nodes[0])
 		return s.Store.Has("knapweedgw/note")
 	})
@@ -150,11 +151,11 @@
 	s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 	s.Start(1)
 	_ = streamRun(s, s.Nodes[0])
-	is.True(keptNothing(s.Nodes[0], e))
+	is.True(cachedNothing(s.Nodes[0], e))
 }
 
-// An engine's late word of its old start takes nothing from the new one.
-func TestOldStartIsIgnored(t *testing.T) {
+// A late entry of an engine's previous process does not replace the entry of its new one.
+func TestEntryOfAnEarlierStartIsIgnored(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	e := s.Plain[0]
 	old := e.Entry("draining")
@@ -169,29 +170,29 @@
 	is.Equal(s.Journal.Runs(a.ID)[0].Born, e.Born())
 }
 
-// The address of an engine goes to another service's while its ID comes back
-// elsewhere.
-func TestAddressAndIDPartWays(t *testing.T) {
+// The address of an engine is reused by an engine of another service while its ID comes back
+// at another address.
+func TestAddressAndIDMoveToDifferentEngines(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
-	e := home(s, s.Nodes[0])
-	settle(s, s.Nodes[0], e)
+	e := holderOf(s, s.Nodes[0])
+	awaitCached(s, s.Nodes[0], e)
 	address := e.Addr()
 	e.Move()
-	heir := NewEngineAt(t, address, "i-heir", ServicePool, "zone-0", s.Journal)
-	s.Store.Put("servers/i-heir", heir.Entry("ready"))
+	successor := NewEngineAt(t, address, "i-heir", ServicePool, "zone-0", s.Journal)
+	s.Store.Put("servers/i-heir", successor.Entry("ready"))
 	s.Store.Put("servers/"+e.ID, e.Entry("ready"))
 	mark(s, "i-marker")
 	awaitMarker(s, s.Nodes[0], "i-marker")
 	run := streamRun(s, s.Nodes[0])
 	is.Equal(run.Header.Get("Kv-Fetch"), "")
-	is.True(keptNothing(s.Nodes[0], e))
-	is.Equal(s.Journal.Turned(), 0)
+	is.True(cachedNothing(s.Nodes[0], e))
+	is.Equal(s.Journal.Rejected(), 0)
 }
 
-// What runs on an engine that starts again follows the usual rules: a stream that
-// may be resumed goes on elsewhere, each event once; the fate of a request that may
-// not be repeated stays unknown, and it runs nowhere else.
-func TestRequestsOfARunThatIsOver(t *testing.T) {
+// Requests that run on an engine while it restarts follow the usual rules: a stream that may
+// be resumed is resumed on another engine, each event once; a request that must not be
+// repeated has an unknown outcome and runs on no other engine.
+func TestRequestsDuringEngineRestart(t *testing.T) {
 	for _, tt := range []struct {
 		path   string
 		status int
--- a/lab/standin/site.go
+++ b/lab/standin/site.go
@@ -19,22 +19,22 @@
 	"github.com/knapweedgw/knapweedgw/router"
 )
 
-// Names of the site's configuration.
+// Names in the site's configuration.
 const (
 	Host        = "site.example"
 	Key         = "key-one"
 	Tenant      = "tenant-one"
-	StreamPath  = "/stream/"    // a stream that may not be repeated
-	ResumePath  = "/resume/"    // a stream that may be resumed
-	UnsafePath  = "/unsafe/"    // plain, not idempotent
-	SafePath    = "/safe/"      // plain, idempotent
-	OpenPath    = "/open/"      // plain, for anyone
-	ModelPool   = "model-pool"  // the model engines' service
-	ServicePool = "plain-pool"  // the plain service
-	LaterPath   = "/added-one/" // only in later configurations
+	StreamPath  = "/stream/"    // a stream that must not be repeated
+	ResumePath  = "/resume/"    // a stream that may be resumed on another engine
+	UnsafePath  = "/unsafe/"    // a plain service, not idempotent
+	SafePath    = "/safe/"      // a plain service, idempotent
+	OpenPath    = "/open/"      // a plain service, no API key needed
+	ModelPool   = "model-pool"  // the service of the model engines
+	ServicePool = "plain-pool"  // the service of the plain servers
+	LaterPath   = "/added-one/" // only in configurations changed by AddRoute
 )
 
-// Owner is who owns the stand-ins: a test, or a tool of the laboratory.
+// Owner is what the stand-ins need of a testing.TB: a test, or a command that runs them.
 type Owner interface {
 	Cleanup(f func())
 	Failed() bool
@@ -44,8 +44,7 @@
 	Logf(format string, args ...any)
 }
 
-// Site is a small deployment: a store, engines and router nodes in this
-// process.
+// Site is a small deployment in one process: a store, engines and router nodes.
 type Site struct {
 	T       Owner
 	Store   *Store
@@ -53,14 +52,14 @@
 	Model   []*Engine
 	Plain   []*Engine
 	Nodes   []*Node
-	// Adjust changes the settings of each node that starts, Wrap its way of
-	// speaking to callers and engines; nil for none.
-	Adjust func(*config.Router)
-	Wrap   func(router.Dialect) router.Dialect
+	// AdjustConfig changes the configuration of each node before it starts. WrapDialect wraps
+	// its dialect, the encoding of messages to callers and engines. Each may be nil.
+	AdjustConfig func(*config.Router)
+	WrapDialect  func(router.Dialect) router.Dialect
 
 	version int
-	// peerPort is the port of all nodes for each other, the same on all of them
-	// as on the platform. Sites of test processes that run side by side differ.
+	// peerPort is the port on which nodes listen for each other, the same on all nodes as on
+	// the platform. Sites of test processes that run concurrently use different ports.
 	peerPort int
 }
 
@@ -72,7 +71,7 @@
 	once   sync.Once
 }
 
-// Logs holds what a node logged.
+// Logs holds the log output of a node.
 type Logs struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -110,7 +109,7 @@
 // Engines returns all engines.
 func (s *Site) Engines() []*Engine { return append(append([]*Engine{}, s.Model...), s.Plain...) }
 
-// Route is a route of the operator's configuration.
+// Route returns a route of the operator's configuration.
 func Route(name, path, kind, service string, attempts int) map[string]any {
 	return map[string]any{
 		"name": name, "host": Host, "prefix": path, "kind": kind, "service": service,
@@ -119,13 +118,14 @@
 	}
 }
 
-// Configure writes the next version of the configuration, as change makes it.
+// Configure writes the next version of the configuration to the store, modified by the changes
+// in order.
 func (s *Site) Configure(change ...func(cfg map[string]any)) {
 	s.version += 2
 	s.Store.Put("op/config", Config(s.version, change...))
 }
 
-// Config is the operator's configuration of the site.
+// Config returns the operator's configuration of the site, modified by the changes in order.
 func Config(version int, change ...func(cfg map[string]any)) map[string]any {
 	resume := Route("resume", ResumePath, "streaming", ModelPool, 2)
 	resume["stream_resume"] = true
@@ -153,13 +153,12 @@
 	return cfg
 }
 
-// AddRoute is a change of the configuration that adds LaterPath.
+// AddRoute is a change to a configuration that adds a route for LaterPath.
 func AddRoute(cfg map[string]any) {
 	cfg["routes"] = append(cfg["routes"].([]any), Route("later", LaterPath, "idempotent", ServicePool, 1))
 }
 
-// Start starts n nodes and waits until they are ready. Node i has the IP
-// 127.0.0.(i+2).
+// Start starts n nodes and waits until they are ready. Node i has the IP 127.0.0.(i+2).
 func (s *Site) Start(n int) {
 	s.peerPort = freePort(s.T, n)
 	for i := range n {
@@ -170,7 +169,7 @@
 	}
 }
 
-// Grace is the time from SIGTERM to SIGKILL at the site.
+// Grace is the time from SIGTERM to SIGKILL of a node.
 const Grace = 3 * time.Second
 
 func (s *Site) startNode(i, n int) *Node {
@@ -184,8 +183,8 @@
 		Listen: FreeAddr(s.T, ip), ReadyListen: FreeAddr(s.T, ip), PeerListen: peers[i], Seeds: peers,
 		StoreAddr: s.Store.Addr(), Grace: Grace, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
 	}
-	if s.Adjust != nil {
-		s.Adjust(cfg)
+	if s.AdjustConfig != nil {
+		s.AdjustConfig(cfg)
 	}
 	if err := cfg.Validate(); err != nil {
 		s.T.Fatal(err)
@@ -193,8 +192,8 @@
 	logs := &Logs{}
 	p := platform.NewAdapter("", cfg).Platform(cfg)
 	p.Store = platform.NewStoreFrom(cfg.StoreAddr, ip)
-	if s.Wrap != nil {
-		p.Dialect = s.Wrap(p.Dialect)
+	if s.WrapDialect != nil {
+		p.Dialect = s.WrapDialect(p.Dialect)
 	}
 	k, err := node.NewRouter(cfg, p, logs, prometheus.NewRegistry())
 	if err != nil {
@@ -203,22 +202,22 @@
 	if err := k.Start(context.Background()); err != nil {
 		s.T.Fatal(err)
 	}
-	out := &Node{Config: cfg, Logs: logs, kernel: k}
+	started := &Node{Config: cfg, Logs: logs, kernel: k}
 	s.T.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		out.Stop(ctx)
+		started.Stop(ctx)
 		if s.T.Failed() {
 			s.T.Logf("%s:\n%s", cfg.NodeID, logs.String())
 		}
 	})
-	return out
+	return started
 }
 
-// nodeIP is the IP of a node of a site.
+// nodeIP returns the IP of the i-th node of a site.
 func nodeIP(i int) string { return fmt.Sprintf("127.0.0.%d", i+2) }
 
-// StopAll stops all nodes at once, without grace.
+// StopAll stops all nodes at once, without a grace period.
 func (s *Site) StopAll() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -228,15 +227,16 @@
 	s.Nodes = nil
 }
 
-// Stop stops the node, once.
+// Stop stops the node; further calls do nothing. The end of ctx ends the grace period.
 func (n *Node) Stop(ctx context.Context) {
 	n.once.Do(func() { _ = n.kernel.Stop(ctx) })
 }
 
-// Ready says whether the node is ready.
+// Ready reports whether the node is ready.
 func (n *Node) Ready() bool { return Ready(n.Config.ReadyListen) }
 
-// Ready asks a node as the platform's balancer does.
+// Ready reports whether the node at addr is ready, by the request that the platform's load
+// balancer sends.
 func Ready(addr string) bool {
 	resp, err := http.Get("http://" + addr + "/-/ready")
 	if err != nil {
@@ -246,16 +246,17 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// patience ends a wait for what never comes; no verdict depends on it.
-const patience = 20 * time.Second
+// waitTimeout bounds waits for a condition that never holds; no test result depends on its
+// length.
+const waitTimeout = 20 * time.Second
 
-// Eventually waits until f is true.
+// Eventually waits until f returns true. It fails the test after waitTimeout.
 func (s *Site) Eventually(what string, f func() bool) {
 	s.T.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	s.T.Fatalf("never came true: %s", what)
+	s.T.Fatalf("condition not met in time: %s", what)
 }
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -1,5 +1,6 @@
-// Package standin is a stand-in for the users' platform: its store, its engines
-// and its operator, written from the published protocol, with faults on order.
+// Package standin has stand-ins for the platform that the router nodes run on: its key-value
+// store, its engines and its operator's configuration. They follow the platform's published
+// protocol and inject faults on request.
 package standin
 
 import (
@@ -15,24 +16,24 @@
 	"time"
 )
 
-// Mode is how the store treats a caller.
+// Mode is how the store handles the calls of a client.
 type Mode int
 
-// The modes of a store.
+// The modes of the store.
 const (
 	// Serving answers every call.
 	Serving Mode = iota
-	// Busy answers 503.
+	// Busy answers 503 (Service Unavailable).
 	Busy
-	// Limited answers 429.
+	// Limited answers 429 (Too Many Requests).
 	Limited
-	// Silent takes calls and never answers.
+	// Silent accepts calls and never answers.
 	Silent
 	// Reset closes connections without an answer.
 	Reset
 )
 
-// Item is a key of the store.
+// Item is a key with its value, or a change of the history.
 type Item struct {
 	Key        string `json:"key"`
 	Value      []byte `json:"value"`
@@ -41,8 +42,8 @@
 	Removed    bool   `json:"removed,omitempty"`
 }
 
-// Store is a stand-in for the platform's key-value store. Tests write by
-// Put and Remove.
+// Store is a stand-in for the platform's key-value store. Tests write to it with Put and
+// Remove.
 type Store struct {
 	server *httptest.Server
 
@@ -50,11 +51,11 @@
 	revision  int64
 	items     map[string]Item
 	history   []Item
-	compacted int64 // changes up to here are forgotten
+	compacted int64 // revision up to which the history was compacted
 	changed   chan struct{}
 	mode      Mode
-	away      map[string]Mode // by caller's IP
-	deaf      bool            // watches hear nothing
+	modeByIP  map[string]Mode // by the client's IP; overrides mode Serving
+	stalled   bool            // watches return no events
 	calls     int
 	pageSize  int
 }
@@ -62,7 +63,7 @@
 // NewStore starts a store on a loopback address.
 func NewStore(t Owner) *Store {
 	s := &Store{
-		items: make(map[string]Item), changed: make(chan struct{}), away: make(map[string]Mode), pageSize: 500,
+		items: make(map[string]Item), changed: make(chan struct{}), modeByIP: make(map[string]Mode), pageSize: 500,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/kv-range", s.serveRange)
@@ -83,11 +84,11 @@
 // Addr is the ip:port of the store.
 func (s *Store) Addr() string { return s.server.Listener.Addr().String() }
 
-// Put writes a key.
+// Put writes a key. A value that is no []byte is encoded as JSON.
 func (s *Store) Put(key string, value any) {
 	raw, ok := value.([]byte)
 	if !ok {
-		raw, _ = json.Marshal(value) // tests pass what marshals
+		raw, _ = json.Marshal(value) // tests pass only values that can be encoded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,8 @@
 	s.changed = make(chan struct{})
 }
 
-// SetMode sets how all callers are treated; waiting watches are cut.
+// SetMode sets the mode for all clients. Any mode but Serving closes all connections, also
+// those of waiting watches.
 func (s *Store) SetMode(m Mode) {
 	s.mu.Lock()
 	s.mode = m
@@ -127,23 +129,25 @@
 	}
 }
 
-// TurnAway sets how the callers of one IP are treated.
-func (s *Store) TurnAway(ip string, m Mode) {
+// SetModeFor sets the mode for the clients of one IP, which applies while the store is in mode
+// Serving.
+func (s *Store) SetModeFor(ip string, m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away[ip] = m
+	s.modeByIP[ip] = m
 	s.wake()
 }
 
-// SetDeaf makes watches hear nothing.
-func (s *Store) SetDeaf(deaf bool) {
+// SetDeaf sets whether watches are stalled: a stalled watch returns no events and does not
+// report a compacted history.
+func (s *Store) SetDeaf(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.stalled = stalled
 	s.wake()
 }
 
-// Compact forgets the history.
+// Compact drops the history of changes.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +156,7 @@
 	s.wake()
 }
 
-// Has says whether a key exists.
+// Has reports whether a key exists.
 func (s *Store) Has(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +176,7 @@
 	s.mu.Lock()
 	s.calls++
 	mode := s.mode
-	if m, ok := s.away[host]; ok && mode == Serving {
+	if m, ok := s.modeByIP[host]; ok && mode == Serving {
 		mode = m
 	}
 	s.mu.Unlock()
@@ -182,7 +186,7 @@
 	case Limited:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case Silent:
-		// The server sees that a caller has gone only once the body is read.
+		// net/http detects that a client has disconnected only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	case Reset:
@@ -210,10 +214,10 @@
 	})
 }
 
-// pageBytes is about how many bytes of values a page has at most.
+// pageBytes is the approximate maximum of bytes of values on a page.
 const pageBytes = 1 << 20
 
-// pageLength returns how many items go on one page, one at least.
+// pageLength returns how many of the items go on one page, at least one.
 func (s *Store) pageLength(items []Item) int {
 	n, size := 0, 0
 	for n < min(len(items), s.pageSize) {
@@ -233,12 +237,12 @@
 	defer deadline.Stop()
 	for {
 		s.mu.Lock()
-		if after < s.compacted && !s.deaf {
+		if after < s.compacted && !s.stalled {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		events := s.since(after, q.Get("prefix"))
+		events := s.changesSince(after, q.Get("prefix"))
 		changed, revision, mode := s.changed, s.revision, s.mode
 		s.mu.Unlock()
 		if len(events) > 0 {
@@ -259,7 +263,7 @@
 	}
 }
 
-// serveTxn takes writes without a condition; the nodes make no others.
+// serveTxn handles unconditional writes; the nodes make no others.
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn struct {
 		SetKeys []struct {
@@ -288,9 +292,10 @@
 	return s.revision
 }
 
-// since is called with the lock held.
-func (s *Store) since(after int64, prefix string) []Item {
-	if s.deaf {
+// changesSince returns the changes after a revision to keys with a prefix. The caller holds
+// s.mu.
+func (s *Store) changesSince(after int64, prefix string) []Item {
+	if s.stalled {
 		return nil
 	}
 	var out []Item
@@ -304,5 +309,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/lab/standin/store_test.go
+++ b/lab/standin/store_test.go
@@ -12,17 +12,18 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// lateOwner keeps cleanups until the test calls them.
-type lateOwner struct {
+// deferredOwner collects cleanups until the test calls them.
+type deferredOwner struct {
 	*testing.T
 	cleanups []func()
 }
 
-func (o *lateOwner) Cleanup(f func()) { o.cleanups = append(o.cleanups, f) }
+func (o *deferredOwner) Cleanup(f func()) { o.cleanups = append(o.cleanups, f) }
 
-// Guards against: a silent store that had taken a write never ended, and the soak with it.
-func TestSilentStoreEndsAfterAWrite(t *testing.T) {
-	is, owner := is.New(t), &lateOwner{T: t}
+// Guards against a Silent store whose Close blocked after it had received a write, so that the
+// soak run never ended.
+func TestSilentStoreClosesAfterAWrite(t *testing.T) {
+	is, owner := is.New(t), &deferredOwner{T: t}
 	store := NewStore(owner)
 	store.SetMode(Silent)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -30,17 +31,17 @@
 	write, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+store.Addr()+"/-/kv-txn", strings.NewReader("{}"))
 	is.NoErr(err)
 	_, err = http.DefaultClient.Do(write)
-	is.True(err != nil) // the caller gave up
-	ended := make(chan struct{})
+	is.True(err != nil) // the client timed out
+	closed := make(chan struct{})
 	go func() {
 		for _, f := range owner.cleanups {
 			f()
 		}
-		close(ended)
+		close(closed)
 	}()
 	select {
-	case <-ended:
+	case <-closed:
 	case <-time.After(20 * time.Second):
-		t.Error("the store has not ended")
+		t.Error("the store was not closed in time")
 	}
 }
--- a/lab/standin/timing.go
+++ b/lab/standin/timing.go
@@ -8,28 +8,29 @@
 	"github.com/knapweedgw/knapweedgw/pause"
 )
 
-// Headers by which a request sets how long its run takes, in milliseconds. Nodes
-// pass them on, so that the caller alone decides, whichever engine is chosen.
+// Headers of a request that set how long its run takes, in milliseconds. Nodes forward them,
+// so that only the caller sets the times, whichever engine is chosen.
 const (
-	// BeforeHeader is the time until the header of the answer.
+	// BeforeHeader is the time until the header of the answer is sent.
 	BeforeHeader = "Lab-Before-Ms"
 	// FirstHeader is the time from the header of a stream to its first event.
 	FirstHeader = "Lab-First-Ms"
-	// PaceHeader is the time between two events, in place of the engine's own.
+	// PaceHeader is the time between two events; it overrides Engine.Pace.
 	PaceHeader = "Lab-Pace-Ms"
 )
 
-// headerTime returns the time that a header of the request sets, or otherwise.
-func headerTime(r *http.Request, name string, otherwise time.Duration) time.Duration {
+// headerTime returns the duration set by a header of the request, or fallback if it has none.
+func headerTime(r *http.Request, name string, fallback time.Duration) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get(name))
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// work takes the given time of a run, and reports whether its caller stayed.
-func (e *Engine) work(r *http.Request, run *Run, d time.Duration) bool {
+// sleep waits for d as part of a run, and reports whether the caller is still connected. If
+// not, it marks the run as canceled.
+func (e *Engine) sleep(r *http.Request, run *Run, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -37,6 +38,6 @@
 	if r.Context().Err() == nil {
 		return true
 	}
-	e.journal.cancel(run)
+	e.journal.markCanceled(run)
 	return false
 }
--- a/lab/standin/unusable_test.go
+++ b/lab/standin/unusable_test.go
@@ -14,8 +14,9 @@
 	. "github.com/knapweedgw/knapweedgw/lab/standin"
 )
 
-// strayEntries are what other writers leave under the engines' prefix.
-func strayEntries(e *Engine) map[string]any {
+// unusableEntries returns unusable entries, written by other writers under the prefix of the
+// engines' entries.
+func unusableEntries(e *Engine) map[string]any {
 	changed := func(field string, value any) map[string]any {
 		entry := e.Entry("ready")
 		entry[field] = value
@@ -38,23 +39,23 @@
 	}
 }
 
-// Entries of other writers name no engine to use and cost none of the others: on a
-// node that reads all, one that watches, and one that copies.
-func TestStrayEntries(t *testing.T) {
-	for _, when := range []string{"before the nodes", "after the nodes", "while a node is turned away"} {
+// Unusable entries add no target and affect no other entry: on a node that reads the full
+// list, one that watches, and one that copies from another node.
+func TestUnusableEntriesAreIgnored(t *testing.T) {
+	for _, when := range []string{"before the nodes", "after the nodes", "while a node has no store"} {
 		t.Run(when, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
 			if when != "before the nodes" {
 				s.Start(2)
 			}
-			if when == "while a node is turned away" {
-				s.Store.TurnAway("127.0.0.2", Silent)
+			if when == "while a node has no store" {
+				s.Store.SetModeFor("127.0.0.2", Silent)
 			}
-			for key, value := range strayEntries(s.Plain[0]) {
+			for key, value := range unusableEntries(s.Plain[0]) {
 				s.Store.Put(key, value)
 			}
 			s.Store.Remove("servers/" + s.Plain[0].ID)
-			s.Store.Put("servers/"+s.Plain[1].ID, []byte("{}")) // a good one is overwritten
+			s.Store.Put("servers/"+s.Plain[1].ID, []byte("{}")) // replaces a valid entry
 			mark(s, "i-marker")
 			if when == "before the nodes" {
 				s.Start(2)
@@ -72,13 +73,13 @@
 				}
 				is.Equal(n.Do(Request{Path: StreamPath, Body: "x"}).Status, http.StatusOK)
 			}
-			is.Equal(s.Journal.Turned(), 0)
+			is.Equal(s.Journal.Rejected(), 0)
 		})
 	}
 }
 
-// What is in progress at an engine whose entry is overwritten ends normally, and the
-// engine gets work again with its next good entry.
+// A stream in progress on an engine whose entry is overwritten ends normally, and the engine
+// gets requests again with its next valid entry.
 func TestOverwrittenEntry(t *testing.T) {
 	is, s := is.New(t), start(t, 1)
 	for _, e := range s.Model {
@@ -100,19 +101,19 @@
 	e := s.Model[1]
 	e.Pace = 0
 	s.Store.Put("servers/"+e.ID, e.Entry("ready"))
-	s.Eventually("it gets work again", func() bool {
+	s.Eventually("the engine gets requests again", func() bool {
 		return s.Nodes[0].Do(Request{Path: StreamPath, Body: "x"}).Status == http.StatusOK
 	})
 }
 
-// Changes that are too long for one answer are read as a list.
+// Changes that are too large for one watch answer are read by a range request.
 func TestManyLargeEntries(t *testing.T) {
 	s := start(t, 1)
 	for i := range 12 {
 		s.Store.Put(fmt.Sprint("servers/i-large-", i), bytes.Repeat([]byte("x"), 1<<20))
 	}
 	s.Store.Put("servers/"+s.Plain[0].ID, s.Plain[0].Entry("draining"))
-	s.Eventually("what came after is known", func() bool {
+	s.Eventually("the node has the later change", func() bool {
 		return strings.Contains(s.Nodes[0].Logs.String(), s.Plain[0].Addr()+`","change":"drains"`)
 	})
 }
