--- a/claims/claim.go
+++ b/claims/claim.go
@@ -42,18 +42,18 @@
 		s.metrics.answers.WithLabelValues(foundHere).Inc()
 		return Verdict{State: Done, Answer: ans}, nil
 	}
-	a := core.NewAttempt(core.Ask{
+	a := core.NewAttempt(core.ClaimRequest{
 		Key: key, Fingerprint: f, Attempt: core.AttemptID(rand.Uint64()), Holder: s.self,
 	}, s.now(), s.deadline(ctx), s.settings.Attempt)
 	startedWall := time.Now().Round(0)
 	d, reason := s.askOwners(ctx, a)
-	if d.Abandon {
+	if d.MustRecordEnd {
 		s.metrics.abandoned.Inc()
 		s.queueEnd(a.End(core.NotRun))
 	}
-	if d.Move == core.MoveRefuse {
+	if d.Action == core.ActionRefuse {
 		s.metrics.refusals.WithLabelValues(reason).Inc()
-		return Verdict{}, refuse(d.Clear, reason)
+		return Verdict{}, refuse(d.NoEarlierRun, reason)
 	}
 	v := Verdict{State: d.State}
 	switch d.State {
@@ -82,7 +82,7 @@
 // The returned string is the reason of a refusal.
 func (s *Service) askOwners(ctx context.Context, a *core.Attempt) (core.Decision, string) {
 	for {
-		owner, ok := s.selector.pick(a.Ask.Key.Shard(), a.Asked())
+		owner, ok := s.selector.pick(a.Ask.Key.Shard(), a.FailedCalls())
 		if !ok {
 			owner = membership.Node{ID: s.self.Node}
 		}
@@ -96,7 +96,7 @@
 		s.selector.markFailed(owner.ID)
 		reason := callFailure(err)
 		d := a.Failed(s.now(), reason == reasonNoReply)
-		if d.Move != core.MoveAsk {
+		if d.Action != core.ActionAsk {
 			return d, reason
 		}
 		s.metrics.retries.WithLabelValues(methodClaim, reason).Inc()
@@ -105,7 +105,7 @@
 
 func (s *Service) ask(ctx context.Context, owner membership.Node, a *core.Attempt) (core.Reply, error) {
 	wait := max(0, a.Deadline()-s.now())
-	if a.Asked() == 0 {
+	if a.FailedCalls() == 0 {
 		wait = time.Duration(float64(wait) * firstCallShare)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -76,8 +76,8 @@
 	NotRun = core.NotRun
 	// Ran means that a target ran the request and returned an answer.
 	Ran = core.Ran
-	// Lost means that a target may have run the request.
-	Lost = core.Lost
+	// PossiblyRun means that a target may have run the request.
+	PossiblyRun = core.PossiblyRun
 )
 
 // Ticket is the right to run a request once.
--- a/claims/core/attempt.go
+++ b/claims/core/attempt.go
@@ -18,34 +18,34 @@
 	return AttemptLimits{Wait: 2 * time.Second, Life: 5 * time.Second, MaxOwners: 3}
 }
 
-// Move is the next action for an attempt. The entry node, which received the request
+// Action is the next action for an attempt. The entry node, which received the request
 // from the caller, carries it out.
-type Move int
+type Action int
 
-// The moves of an attempt.
+// The actions of an attempt.
 const (
-	// MoveAsk means that the next owner is to be asked.
-	MoveAsk Move = iota
-	// MoveVerdict means that Decision.State is set.
-	MoveVerdict
-	// MoveRefuse means that the caller gets a refusal: this attempt was not run.
-	MoveRefuse
-	// MoveNothing means that the event came too late: the attempt no longer waits
+	// ActionAsk means that the next owner is to be asked.
+	ActionAsk Action = iota
+	// ActionVerdict means that Decision.State is set.
+	ActionVerdict
+	// ActionRefuse means that the caller gets a refusal: this attempt was not run.
+	ActionRefuse
+	// ActionNothing means that the event came too late: the attempt no longer waits
 	// for a claim.
-	MoveNothing
+	ActionNothing
 )
 
-// Decision is a Move with its parameters.
+// Decision is an Action with its parameters.
 type Decision struct {
-	Move   Move
+	Action Action
 	State  State
 	Holder Holder
-	// Clear means, with MoveRefuse, that no earlier attempt with the key ran the
+	// NoEarlierRun means, with ActionRefuse, that no earlier attempt with the key ran the
 	// request either.
-	Clear bool
-	// Abandon means that the log may hold a claim of this attempt, which won't be
-	// used: an End with NotRun must be recorded to free the key.
-	Abandon bool
+	NoEarlierRun bool
+	// MustRecordEnd means that the log may hold a claim of this attempt, which won't be
+	// used: an OutcomeRecord with NotRun must be recorded to free the key.
+	MustRecordEnd bool
 }
 
 type attemptPhase int
@@ -60,7 +60,7 @@
 // the request only after a grant that came before the deadline, and never after the
 // caller got a refusal, so that the request is sent at most once.
 type Attempt struct {
-	Ask Ask
+	Ask ClaimRequest
 
 	limits        AttemptLimits
 	started       Instant
@@ -72,70 +72,70 @@
 
 // NewAttempt returns an attempt that starts now. deadline is the caller's, or Forever
 // if the caller set none.
-func NewAttempt(a Ask, now, deadline Instant, l AttemptLimits) *Attempt {
+func NewAttempt(a ClaimRequest, now, deadline Instant, l AttemptLimits) *Attempt {
 	return &Attempt{Ask: a, limits: l, started: now, deadline: min(deadline, now+l.Wait)}
 }
 
 // Deadline returns the time at which the attempt stops waiting for a claim.
 func (a *Attempt) Deadline() Instant { return a.deadline }
 
-// Asked returns the number of calls to owners that failed.
-func (a *Attempt) Asked() int { return a.failures }
+// FailedCalls returns the number of calls to owners that failed.
+func (a *Attempt) FailedCalls() int { return a.failures }
 
 // Replied handles the reply of an owner.
 func (a *Attempt) Replied(now Instant, r Reply) Decision {
 	if a.phase != asking {
-		return Decision{Move: MoveNothing}
+		return Decision{Action: ActionNothing}
 	}
 	a.mayBeRecorded = a.mayBeRecorded || r.MayBeRecorded
 	switch {
 	case r.Status == Decided && r.State == Granted && now < a.deadline:
 		a.phase = granted
-		return Decision{Move: MoveVerdict, State: Granted}
+		return Decision{Action: ActionVerdict, State: Granted}
 	case r.Status == Decided && r.State == Granted:
 		a.mayBeRecorded = true // the claim is recorded, but the deadline has passed
-		d := a.close(MoveRefuse)
-		d.Clear = true
+		d := a.close(ActionRefuse)
+		d.NoEarlierRun = true
 		return d
 	case r.Status == Decided:
-		d := a.close(MoveVerdict)
+		d := a.close(ActionVerdict)
 		d.State, d.Holder = r.State, r.Holder
 		return d
 	default:
-		d := a.close(MoveRefuse)
-		d.Clear = r.Clear
+		d := a.close(ActionRefuse)
+		d.NoEarlierRun = r.NoEarlierRun
 		return d
 	}
 }
 
 // Failed handles a call to an owner that got no reply. delivered says whether the
-// owner may have received the Ask.
+// owner may have received the ClaimRequest.
 func (a *Attempt) Failed(now Instant, delivered bool) Decision {
 	if a.phase != asking {
-		return Decision{Move: MoveNothing}
+		return Decision{Action: ActionNothing}
 	}
 	a.mayBeRecorded = a.mayBeRecorded || delivered
 	a.failures++
 	if now < a.deadline && a.failures < a.limits.MaxOwners {
-		return Decision{Move: MoveAsk}
+		return Decision{Action: ActionAsk}
 	}
-	return a.close(MoveRefuse)
+	return a.close(ActionRefuse)
 }
 
 // GiveUp closes an attempt that still waits for a claim, because its deadline has
-// passed or its caller disconnected. It assumes that an Ask is in flight and may still
+// passed or its caller disconnected. It assumes that a ClaimRequest is in flight and may still
 // be recorded.
 func (a *Attempt) GiveUp() Decision {
 	if a.phase != asking {
-		return Decision{Move: MoveNothing}
+		return Decision{Action: ActionNothing}
 	}
 	a.mayBeRecorded = true
-	return a.close(MoveRefuse)
+	return a.close(ActionRefuse)
 }
 
-func (a *Attempt) close(m Move) Decision {
+func (a *Attempt) close(m Action) Decision {
 	a.phase = closed
-	return Decision{Move: m, Abandon: a.mayBeRecorded}
+	return Decision{Action: m, MustRecordEnd: a.mayBeRecorded}
 }
 
 // Valid reports whether the request may be sent now.
@@ -143,17 +143,17 @@
 	return a.phase == granted && now-a.started < a.limits.Life
 }
 
-// Finish closes a granted attempt and returns the End to record; ok is false if the
+// Finish closes a granted attempt and returns the OutcomeRecord; ok is false if the
 // attempt has no claim or is closed already.
-func (a *Attempt) Finish(o Outcome) (e End, ok bool) {
+func (a *Attempt) Finish(o Outcome) (e OutcomeRecord, ok bool) {
 	if a.phase != granted {
-		return End{}, false
+		return OutcomeRecord{}, false
 	}
 	a.phase = closed
 	return a.End(o), true
 }
 
-// End returns the End of the attempt with the given outcome.
-func (a *Attempt) End(o Outcome) End {
-	return End{Key: a.Ask.Key, Attempt: a.Ask.Attempt, Outcome: o}
+// End returns the OutcomeRecord of the attempt with the given outcome.
+func (a *Attempt) End(o Outcome) OutcomeRecord {
+	return OutcomeRecord{Key: a.Ask.Key, Attempt: a.Ask.Attempt, Outcome: o}
 }
--- a/claims/core/attempt_test.go
+++ b/claims/core/attempt_test.go
@@ -27,31 +27,31 @@
 func TestAttempt(t *testing.T) {
 	grant := Reply{State: Granted}
 	busy := Reply{State: InProgress}
-	out := Reply{Status: Unavailable, Clear: true}
+	out := Reply{Status: Unavailable, NoEarlierRun: true}
 	const soon, late = time.Second, 3 * time.Second
 	for _, tc := range []struct {
 		name  string
 		steps []step
 		want  Decision // of the last step
 	}{
-		{"granted", []step{{soon, replied(grant)}}, Decision{Move: MoveVerdict, State: Granted}},
-		{"granted too late", []step{{late, replied(grant)}}, Decision{Move: MoveRefuse, Clear: true, Abandon: true}},
-		{"granted after GiveUp", []step{{soon, giveUp}, {soon, replied(grant)}}, Decision{Move: MoveNothing}},
-		{"refused, nothing recorded", []step{{soon, replied(out)}}, Decision{Move: MoveRefuse, Clear: true}},
-		{"refused, perhaps recorded", []step{{soon, replied(Reply{Status: Unavailable, MayBeRecorded: true})}}, Decision{Move: MoveRefuse, Abandon: true}},
-		{"expired at the owner", []step{{soon, replied(Reply{Status: Expired})}}, Decision{Move: MoveRefuse}},
-		{"in progress", []step{{soon, replied(busy)}}, Decision{Move: MoveVerdict, State: InProgress}},
-		{"in progress, no reply from the first owner", []step{{soon, failed(true)}, {soon, replied(busy)}}, Decision{Move: MoveVerdict, State: InProgress, Abandon: true}},
-		{"an owner is unreachable", []step{{soon, failed(false)}}, Decision{Move: MoveAsk}},
-		{"granted by the second owner", []step{{soon, failed(true)}, {soon, replied(grant)}}, Decision{Move: MoveVerdict, State: Granted}},
-		{"three owners are unreachable", []step{{soon, failed(false)}, {soon, failed(false)}, {soon, failed(false)}}, Decision{Move: MoveRefuse}},
-		{"no reply from an owner until the deadline", []step{{late, failed(true)}}, Decision{Move: MoveRefuse, Abandon: true}},
-		{"the caller disconnects", []step{{soon, giveUp}}, Decision{Move: MoveRefuse, Abandon: true}},
-		{"two owners grant it", []step{{soon, replied(grant)}, {soon, replied(grant)}}, Decision{Move: MoveNothing}},
+		{"granted", []step{{soon, replied(grant)}}, Decision{Action: ActionVerdict, State: Granted}},
+		{"granted too late", []step{{late, replied(grant)}}, Decision{Action: ActionRefuse, NoEarlierRun: true, MustRecordEnd: true}},
+		{"granted after GiveUp", []step{{soon, giveUp}, {soon, replied(grant)}}, Decision{Action: ActionNothing}},
+		{"refused, nothing recorded", []step{{soon, replied(out)}}, Decision{Action: ActionRefuse, NoEarlierRun: true}},
+		{"refused, perhaps recorded", []step{{soon, replied(Reply{Status: Unavailable, MayBeRecorded: true})}}, Decision{Action: ActionRefuse, MustRecordEnd: true}},
+		{"expired at the owner", []step{{soon, replied(Reply{Status: Expired})}}, Decision{Action: ActionRefuse}},
+		{"in progress", []step{{soon, replied(busy)}}, Decision{Action: ActionVerdict, State: InProgress}},
+		{"in progress, no reply from the first owner", []step{{soon, failed(true)}, {soon, replied(busy)}}, Decision{Action: ActionVerdict, State: InProgress, MustRecordEnd: true}},
+		{"an owner is unreachable", []step{{soon, failed(false)}}, Decision{Action: ActionAsk}},
+		{"granted by the second owner", []step{{soon, failed(true)}, {soon, replied(grant)}}, Decision{Action: ActionVerdict, State: Granted}},
+		{"three owners are unreachable", []step{{soon, failed(false)}, {soon, failed(false)}, {soon, failed(false)}}, Decision{Action: ActionRefuse}},
+		{"no reply from an owner until the deadline", []step{{late, failed(true)}}, Decision{Action: ActionRefuse, MustRecordEnd: true}},
+		{"the caller disconnects", []step{{soon, giveUp}}, Decision{Action: ActionRefuse, MustRecordEnd: true}},
+		{"two owners grant it", []step{{soon, replied(grant)}, {soon, replied(grant)}}, Decision{Action: ActionNothing}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			a := NewAttempt(Ask{}, 0, Forever, DefaultAttemptLimits())
+			a := NewAttempt(ClaimRequest{}, 0, Forever, DefaultAttemptLimits())
 			var got Decision
 			for _, s := range tc.steps {
 				got = s.apply(a, s.at)
@@ -67,7 +67,7 @@
 func TestRefusedAttemptIsNeverValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := DefaultAttemptLimits()
-		a := NewAttempt(Ask{}, 0, Forever, limits)
+		a := NewAttempt(ClaimRequest{}, 0, Forever, limits)
 		var now Instant
 		refused, ended := false, false
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -84,11 +84,11 @@
 			case 2:
 				d = a.GiveUp()
 			default:
-				_, ok := a.Finish(Lost)
+				_, ok := a.Finish(PossiblyRun)
 				ended = ended || ok
-				d.Move = MoveNothing
+				d.Action = ActionNothing
 			}
-			refused = refused || d.Move == MoveRefuse
+			refused = refused || d.Action == ActionRefuse
 			if a.Valid(now) && (refused || ended || now >= limits.Life) {
 				t.Fatalf("valid at %v: refused %v, ended %v", now, refused, ended)
 			}
@@ -98,10 +98,10 @@
 
 func TestEnds(t *testing.T) {
 	is := is.New(t)
-	cfg := DefaultEndsConfig()
+	cfg := DefaultOutcomeQueueConfig()
 	cfg.Capacity, cfg.MaxBatch = 3, 2
-	q := NewEnds(cfg)
-	end := func(a AttemptID) End { return End{Key: KeyID{7: 1}, Attempt: a} }
+	q := NewOutcomeQueue(cfg)
+	end := func(a AttemptID) OutcomeRecord { return OutcomeRecord{Key: KeyID{7: 1}, Attempt: a} }
 	for a := range AttemptID(3) {
 		is.True(q.Push(end(a)))
 	}
@@ -111,7 +111,7 @@
 	shard, batch, ok := q.Next(0)
 	is.True(ok)
 	is.Equal(shard, end(0).Key.Shard())
-	is.Equal(batch, []End{end(0), end(1)})
+	is.Equal(batch, []OutcomeRecord{end(0), end(1)})
 	_, _, ok = q.Next(0)
 	is.True(!ok) // one call at a time for a shard
 
@@ -121,7 +121,7 @@
 	is.Equal(q.WakeAt(), cfg.MinBackoff)
 	_, batch, ok = q.Next(cfg.MinBackoff)
 	is.True(ok)
-	is.Equal(batch, []End{end(0), end(1)}) // the same outcomes again, none is lost
+	is.Equal(batch, []OutcomeRecord{end(0), end(1)}) // the same outcomes again, none is lost
 
 	q.Sent(cfg.MinBackoff, shard, false, 0)
 	is.Equal(q.WakeAt(), 3*cfg.MinBackoff) // the backoff doubles
@@ -130,5 +130,5 @@
 	q.Sent(q.WakeAt(), shard, true, 0)
 	is.Equal(q.Len(), 1)
 	_, batch, _ = q.Next(Forever)
-	is.Equal(batch, []End{end(2)})
+	is.Equal(batch, []OutcomeRecord{end(2)})
 }
--- a/claims/core/batch.go
+++ b/claims/core/batch.go
@@ -85,9 +85,10 @@
 }
 
 // noEarlierRun reports whether the log proves that no other attempt ran the request of
-// an ask before the ask arrived. It returns false if the table is older than MaxClearAge.
+// an ask before the ask arrived. It returns false if the table is older than
+// MaxNoEarlierRunAge.
 func (s *Shard) noEarlierRun(now Instant, r request) bool {
-	recent := r.arrived <= s.syncedAt || min(now, s.failingSince)-s.syncedAt <= s.cfg.MaxClearAge
+	recent := r.arrived <= s.syncedAt || min(now, s.failingSince)-s.syncedAt <= s.cfg.MaxNoEarlierRunAge
 	if r.ask == nil || !s.loaded || !recent {
 		return false
 	}
--- a/claims/core/ends.go
+++ b/claims/core/ends.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// EndsConfig holds the limits of an Ends.
-type EndsConfig struct {
+// OutcomeQueueConfig holds the limits of an OutcomeQueue.
+type OutcomeQueueConfig struct {
 	// Capacity is the maximum number of outcomes kept.
 	Capacity int
 	// MaxBatch is the maximum number of outcomes sent in one call.
@@ -12,35 +12,35 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// DefaultEndsConfig returns the limits used in production.
-func DefaultEndsConfig() EndsConfig {
-	return EndsConfig{Capacity: 20000, MaxBatch: 500, MinBackoff: 200 * time.Millisecond, MaxBackoff: 5 * time.Second}
+// DefaultOutcomeQueueConfig returns the limits used in production.
+func DefaultOutcomeQueueConfig() OutcomeQueueConfig {
+	return OutcomeQueueConfig{Capacity: 20000, MaxBatch: 500, MinBackoff: 200 * time.Millisecond, MaxBackoff: 5 * time.Second}
 }
 
-// Ends queues the outcomes of attempts until an owner has recorded them. When the queue
+// OutcomeQueue queues the outcomes of attempts until an owner has recorded them. When the queue
 // is full, new outcomes are dropped: the claim of a dropped outcome stays open in the
 // log, its state turns to Unknown, and its request is never run again.
-type Ends struct {
-	cfg    EndsConfig
+type OutcomeQueue struct {
+	cfg    OutcomeQueueConfig
 	shards [Shards]endQueue
 	len    int
 }
 
 type endQueue struct {
-	items   []End
+	items   []OutcomeRecord
 	sending int // number of leading items that are being sent
 	backoff time.Duration
 	retryAt Instant
 }
 
-// NewEnds returns an empty queue.
-func NewEnds(cfg EndsConfig) *Ends { return &Ends{cfg: cfg} }
+// NewOutcomeQueue returns an empty queue.
+func NewOutcomeQueue(cfg OutcomeQueueConfig) *OutcomeQueue { return &OutcomeQueue{cfg: cfg} }
 
 // Len returns the number of outcomes that are not recorded yet.
-func (q *Ends) Len() int { return q.len }
+func (q *OutcomeQueue) Len() int { return q.len }
 
 // Push adds an outcome. It returns false if the queue is full.
-func (q *Ends) Push(e End) bool {
+func (q *OutcomeQueue) Push(e OutcomeRecord) bool {
 	if q.len >= q.cfg.Capacity {
 		return false
 	}
@@ -52,14 +52,14 @@
 
 // Next returns the outcomes of one shard to send now; ok is false if there are none.
 // It returns no more outcomes of that shard before Sent is called for it.
-func (q *Ends) Next(now Instant) (shard int, batch []End, ok bool) {
+func (q *OutcomeQueue) Next(now Instant) (shard int, batch []OutcomeRecord, ok bool) {
 	for i := range q.shards {
 		s := &q.shards[i]
 		if len(s.items) == 0 || s.sending > 0 || now < s.retryAt {
 			continue
 		}
 		s.sending = min(len(s.items), q.cfg.MaxBatch)
-		return i, append([]End(nil), s.items[:s.sending]...), true
+		return i, append([]OutcomeRecord(nil), s.items[:s.sending]...), true
 	}
 	return 0, nil, false
 }
@@ -67,7 +67,7 @@
 // Sent reports whether the outcomes that Next last returned for a shard were recorded.
 // If not, Next returns them again after a backoff; jitter in [0,1) shortens the backoff
 // by up to a half.
-func (q *Ends) Sent(now Instant, shard int, recorded bool, jitter float64) {
+func (q *OutcomeQueue) Sent(now Instant, shard int, recorded bool, jitter float64) {
 	s := &q.shards[shard]
 	if recorded {
 		s.items = s.items[s.sending:]
@@ -81,7 +81,7 @@
 }
 
 // WakeAt returns the time from which Next may return outcomes again.
-func (q *Ends) WakeAt() Instant {
+func (q *OutcomeQueue) WakeAt() Instant {
 	at := Forever
 	for i := range q.shards {
 		if s := &q.shards[i]; len(s.items) > 0 && s.sending == 0 {
--- a/claims/core/retention_test.go
+++ b/claims/core/retention_test.go
@@ -12,7 +12,7 @@
 // TestClaimsAreKeptForTheRetention guards against running a request a second time within
 // the retention because its claim was deleted too early. For random sequences of owners,
 // pauses and failed calls to the store, the log holds a claim for at least the retention,
-// in real time, after its grant. Grants later than GrantAge after the Ask don't count,
+// in real time, after its grant. Grants later than GrantAge after the ClaimRequest don't count,
 // since they are not used.
 func TestClaimsAreKeptForTheRetention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,7 +32,7 @@
 			if rapid.Bool().Draw(t, "ask") {
 				next++
 				asked[next] = now
-				r.Ask(now, Ref(next), Ask{Key: keyOf(next), Attempt: next}, Forever)
+				r.Ask(now, Ref(next), ClaimRequest{Key: keyOf(next), Attempt: next}, Forever)
 			}
 			f := noFault
 			if rapid.IntRange(0, 9).Draw(t, "luck") == 0 {
@@ -57,7 +57,7 @@
 // within the retention is missing.
 func checkKept(t *rapid.T, owners []*runner, granted map[AttemptID]Instant, now, retention Instant) {
 	reader := &runner{Shard: NewShard(0, smallConfig(), func(Holder) bool { return true }), net: owners[0].net}
-	reader.Ask(now, 0, Ask{Key: KeyID{0xff}}, Forever)
+	reader.Ask(now, 0, ClaimRequest{Key: KeyID{0xff}}, Forever)
 	reader.advance(now, noFault)
 	reader.advance(now, noFault)
 	for a, at := range granted {
--- a/claims/core/shard.go
+++ b/claims/core/shard.go
@@ -15,18 +15,18 @@
 	// Retention is how long a claim is kept. A request whose key is repeated within
 	// this time is not run again.
 	Retention time.Duration
-	// GrantAge is the longest time from an Ask to the use of its grant. It is added to
+	// GrantAge is the longest time from a ClaimRequest to the use of its grant. It is added to
 	// Retention, which counts from the clock of the claim's record: that is not earlier
-	// than the Ask, but may be earlier than the use of the grant.
+	// than the ClaimRequest, but may be earlier than the use of the grant.
 	GrantAge time.Duration
 	// MaxStateAge is the age of the table above which the log is read again before a
 	// reply with InProgress, Unknown or Mismatch, which may change. Granted and Done
 	// are final and returned from an older table, too.
 	MaxStateAge time.Duration
-	// MaxClearAge is the age of the table up to which a refusal may set Reply.Clear.
+	// MaxNoEarlierRunAge is the age of the table up to which a refusal may set Reply.NoEarlierRun.
 	// With 0 the table must have been read after the request arrived. While the store
 	// is unavailable, the age is that at its first failure.
-	MaxClearAge time.Duration
+	MaxNoEarlierRunAge time.Duration
 	// MaxRunTime is the age above which an open claim is reported as Unknown.
 	MaxRunTime time.Duration
 	// Backoff is the pause after a failed call to the store. Requests that need the
@@ -43,27 +43,27 @@
 // DefaultConfig returns the limits used in production.
 func DefaultConfig() Config {
 	return Config{
-		Interval:      140 * time.Millisecond,
-		Retention:     15 * time.Minute,
-		GrantAge:      DefaultAttemptLimits().Life,
-		MaxStateAge:   time.Second,
-		MaxClearAge:   2 * time.Second,
-		MaxRunTime:    5 * time.Minute,
-		Backoff:       500 * time.Millisecond,
-		GroupSegments: 64,
-		GroupBytes:    256 << 10,
-		MaxBatch:      2000,
+		Interval:           140 * time.Millisecond,
+		Retention:          15 * time.Minute,
+		GrantAge:           DefaultAttemptLimits().Life,
+		MaxStateAge:        time.Second,
+		MaxNoEarlierRunAge: 2 * time.Second,
+		MaxRunTime:         5 * time.Minute,
+		Backoff:            500 * time.Millisecond,
+		GroupSegments:      64,
+		GroupBytes:         256 << 10,
+		MaxBatch:           2000,
 	}
 }
 
 // Ref is chosen by the caller of Ask and End to match the reply to its request.
 type Ref uint64
 
-// request is a queued Ask or End; exactly one of ask and end is set.
+// request is a queued ClaimRequest or OutcomeRecord; exactly one of ask and end is set.
 type request struct {
 	ref     Ref
-	ask     *Ask
-	end     *End
+	ask     *ClaimRequest
+	end     *OutcomeRecord
 	arrived Instant
 	expires Instant
 	// mayBeRecorded is set when a transaction with the request's record failed in a
@@ -152,12 +152,12 @@
 }
 
 // Ask queues a request for a claim. It is refused if it has no reply by expires.
-func (s *Shard) Ask(now Instant, ref Ref, a Ask, expires Instant) {
+func (s *Shard) Ask(now Instant, ref Ref, a ClaimRequest, expires Instant) {
 	s.queue = append(s.queue, request{ref: ref, ask: &a, arrived: now, expires: expires})
 }
 
 // End queues the outcome of an attempt. It is refused if it has no reply by expires.
-func (s *Shard) End(now Instant, ref Ref, e End, expires Instant) {
+func (s *Shard) End(now Instant, ref Ref, e OutcomeRecord, expires Instant) {
 	s.queue = append(s.queue, request{ref: ref, end: &e, arrived: now, expires: expires})
 }
 
@@ -168,9 +168,9 @@
 	return out
 }
 
-// SetDuty sets whether this node is the primary owner of the shard. If so, the Shard
+// SetPrimary sets whether this node is the primary owner of the shard. If so, the Shard
 // keeps its table fresh while it is idle.
-func (s *Shard) SetDuty(on bool) { s.isPrimary = on }
+func (s *Shard) SetPrimary(on bool) { s.isPrimary = on }
 
 // Len returns the number of keys in the table and of queued requests.
 func (s *Shard) Len() (keys, waiting int) { return s.table.Len(), len(s.queue) }
@@ -198,9 +198,9 @@
 
 // idle returns the next step when the queue is empty.
 func (s *Shard) idle(now Instant) Step {
-	due := max(s.retryAt, s.syncedAt+s.cfg.MaxClearAge/2)
+	due := max(s.retryAt, s.syncedAt+s.cfg.MaxNoEarlierRunAge/2)
 	switch {
-	case !s.isPrimary || s.cfg.MaxClearAge == 0:
+	case !s.isPrimary || s.cfg.MaxNoEarlierRunAge == 0:
 		return Step{Kind: StepWait, Until: Forever}
 	case now < due:
 		return Step{Kind: StepWait, Until: due}
@@ -291,7 +291,7 @@
 
 func (s *Shard) refuseAll(now Instant) {
 	for _, r := range s.queue {
-		s.reply(r, Reply{Status: Unavailable, Clear: s.noEarlierRun(now, r)})
+		s.reply(r, Reply{Status: Unavailable, NoEarlierRun: s.noEarlierRun(now, r)})
 	}
 	s.queue = s.queue[:0]
 }
@@ -307,7 +307,7 @@
 			continue
 		}
 		r.mayBeRecorded = r.mayBeRecorded || s.batch != nil && s.batch.contains(r.ref)
-		s.reply(r, Reply{Status: Expired, Clear: s.noEarlierRun(now, r)})
+		s.reply(r, Reply{Status: Expired, NoEarlierRun: s.noEarlierRun(now, r)})
 	}
 	s.queue = kept
 }
--- a/claims/core/shard_test.go
+++ b/claims/core/shard_test.go
@@ -88,7 +88,7 @@
 	holder map[KeyID]AttemptID // attempts that were granted the key and did not end with NotRun
 }
 
-func (c *grantChecker) granted(t *rapid.T, a Ask) {
+func (c *grantChecker) granted(t *rapid.T, a ClaimRequest) {
 	if h, ok := c.holder[a.Key]; ok && h != a.Attempt {
 		t.Fatalf("key %x granted to attempt %d while attempt %d holds it", a.Key[:1], a.Attempt, h)
 	}
@@ -116,7 +116,7 @@
 			owners[i] = &runner{Shard: NewShard(0, smallConfig(), func(Holder) bool { return true }), net: net}
 		}
 		checker := &grantChecker{holder: make(map[KeyID]AttemptID)}
-		var asks []Ask
+		var asks []ClaimRequest
 		owner := func() *runner { return owners[rapid.IntRange(0, testOwners-1).Draw(t, "owner")] }
 		collect := func(r *runner) {
 			for _, p := range r.Replies() {
@@ -127,7 +127,7 @@
 		}
 		actions := map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				a := Ask{
+				a := ClaimRequest{
 					Key:     KeyID{byte(rapid.IntRange(1, testKeys).Draw(t, "key"))},
 					Attempt: AttemptID(len(asks) + 1),
 				}
@@ -153,7 +153,7 @@
 					delete(checker.holder, k)
 					asks = dropAttempt(asks, a) // it doesn't use a later grant
 				}
-				owner().End(now, Ref(1<<32), End{Key: k, Attempt: a, Outcome: o}, now+time.Second)
+				owner().End(now, Ref(1<<32), OutcomeRecord{Key: k, Attempt: a, Outcome: o}, now+time.Second)
 			},
 			"step": func(t *rapid.T) {
 				r := owner()
@@ -183,17 +183,17 @@
 
 // dropAttempt replaces the asks of an attempt by ones that are never granted a test key.
 // The slice keeps its length, so that the Refs of the other asks stay valid.
-func dropAttempt(asks []Ask, a AttemptID) []Ask {
+func dropAttempt(asks []ClaimRequest, a AttemptID) []ClaimRequest {
 	for i := range asks {
 		if asks[i].Attempt == a {
-			asks[i] = Ask{Key: KeyID{0xff}, Attempt: 0}
+			asks[i] = ClaimRequest{Key: KeyID{0xff}, Attempt: 0}
 		}
 	}
 	return asks
 }
 
 // held returns the entries whose phase is not Free. A Free entry is equivalent to none,
-// and may differ between tables: the End of an attempt may be in a later group than its
+// and may differ between tables: the OutcomeRecord of an attempt may be in a later group than its
 // claim and remain in the log after the claim is trimmed.
 func held(t *Table) map[KeyID]Entry {
 	out := maps.Clone(t.entries)
@@ -214,9 +214,9 @@
 		for i := range steps {
 			k := KeyID{byte(rapid.IntRange(1, 20).Draw(t, "key"))}
 			a := AttemptID(i + 1)
-			writer.Ask(now, 0, Ask{Key: k, Attempt: a}, Forever)
+			writer.Ask(now, 0, ClaimRequest{Key: k, Attempt: a}, Forever)
 			if rapid.Bool().Draw(t, "end") {
-				writer.End(now, 0, End{Key: k, Attempt: a, Outcome: Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))}, Forever)
+				writer.End(now, 0, OutcomeRecord{Key: k, Attempt: a, Outcome: Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))}, Forever)
 			}
 			for range 8 {
 				writer.advance(now, noFault)
@@ -224,7 +224,7 @@
 			}
 		}
 		reader := &runner{Shard: NewShard(0, cfg, func(Holder) bool { return true }), net: net}
-		reader.Ask(now, 0, Ask{Key: KeyID{1}, Attempt: 1 << 40}, Forever)
+		reader.Ask(now, 0, ClaimRequest{Key: KeyID{1}, Attempt: 1 << 40}, Forever)
 		reader.advance(now, noFault)
 		reader.advance(now, noFault)
 		if reader.head != writer.head {
--- a/claims/core/table.go
+++ b/claims/core/table.go
@@ -88,7 +88,7 @@
 }
 
 // applyEnd applies the outcome of an attempt to its open claim. An attempt that was not
-// run and has no claim gets an entry with the phase Free, so that its Ask, if it arrives
+// run and has no claim gets an entry with the phase Free, so that its ClaimRequest, if it arrives
 // late, is not granted.
 func (t *Table) applyEnd(id uint64, r Record) {
 	e, ok := t.entries[r.Key]
@@ -139,7 +139,7 @@
 	return oldest, ok
 }
 
-// decision is the result of checking an Ask against the table.
+// decision is the result of checking a ClaimRequest against the table.
 type decision int
 
 const (
@@ -148,9 +148,9 @@
 	decideEnded                 // the attempt has ended without running
 )
 
-// decide checks an Ask against the entry of its key; ok is false if there is none. A
+// decide checks a ClaimRequest against the entry of its key; ok is false if there is none. A
 // key whose phase is not Free is granted only to the attempt that holds it.
-func decide(e Entry, ok bool, a Ask) (decision, State) {
+func decide(e Entry, ok bool, a ClaimRequest) (decision, State) {
 	switch {
 	case !ok:
 		return decideClaim, 0
--- a/claims/core/table_test.go
+++ b/claims/core/table_test.go
@@ -36,7 +36,7 @@
 			if tc.entry != nil {
 				e = *tc.entry
 			}
-			d, state := decide(e, tc.entry != nil, Ask{Attempt: own, Fingerprint: tc.fingerprint})
+			d, state := decide(e, tc.entry != nil, ClaimRequest{Attempt: own, Fingerprint: tc.fingerprint})
 			is.Equal(d, tc.want)
 			is.Equal(state, tc.state)
 		})
@@ -56,7 +56,7 @@
 		{"open", []Record{claim(1)}, 1, Open},
 		{"not run", []Record{claim(1), end(1, NotRun)}, 1, Free},
 		{"ran", []Record{claim(1), end(1, Ran)}, 1, HasRun},
-		{"lost", []Record{claim(1), end(1, Lost)}, 1, MayHaveRun},
+		{"lost", []Record{claim(1), end(1, PossiblyRun)}, 1, MayHaveRun},
 		{"another attempt's end is ignored", []Record{claim(1), end(2, NotRun)}, 1, Open},
 		{"a second end is ignored", []Record{claim(1), end(1, Ran), end(1, NotRun)}, 1, HasRun},
 		{"not run and claimed again", []Record{claim(1), end(1, NotRun), claim(2)}, 2, Open},
--- a/claims/core/types.go
+++ b/claims/core/types.go
@@ -1,7 +1,7 @@
 // Package core implements the state machines of the claims service without I/O:
 // callers pass in events and the current time, and carry out the returned actions.
 // Shard decides the claims of one shard from a log in the store, Attempt tracks one
-// request at the node that received it, and Ends queues the outcomes of attempts
+// request at the node that received it, and OutcomeQueue queues the outcomes of attempts
 // until the shard's owner has recorded them.
 //
 // A claim is the exclusive right of one attempt to run the request with a given
@@ -96,8 +96,8 @@
 	NotRun Outcome = iota
 	// Ran means that a target ran the request and returned an answer.
 	Ran
-	// Lost means that a target may have run the request.
-	Lost
+	// PossiblyRun means that a target may have run the request.
+	PossiblyRun
 )
 
 // State is the recorded state of a claim, as seen by the attempt that asked for it.
@@ -119,16 +119,16 @@
 	Mismatch
 )
 
-// Ask is the request of an attempt for a claim.
-type Ask struct {
+// ClaimRequest is the request of an attempt for a claim.
+type ClaimRequest struct {
 	Key         KeyID       `json:"key"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Attempt     AttemptID   `json:"attempt"`
 	Holder      Holder      `json:"holder"`
 }
 
-// End is the outcome of one attempt, to be recorded in the log.
-type End struct {
+// OutcomeRecord is the outcome of one attempt, to be recorded in the log.
+type OutcomeRecord struct {
 	Key     KeyID     `json:"key"`
 	Attempt AttemptID `json:"attempt"`
 	Outcome Outcome   `json:"outcome"`
@@ -141,17 +141,18 @@
 const (
 	// Decided means that Reply.State is set.
 	Decided Status = iota
-	// Recorded means that the End is in the log.
+	// Recorded means that the OutcomeRecord is in the log.
 	Recorded
-	// AttemptEnded means that the attempt's End was recorded before its Ask was handled.
+	// AttemptEnded means that the attempt's OutcomeRecord was recorded before its
+	// ClaimRequest was handled.
 	AttemptEnded
 	// Unavailable means that a call to the store failed.
 	Unavailable
-	// Expired means that the Ask or End was not handled before its expiry time.
+	// Expired means that the ClaimRequest or OutcomeRecord was not handled before its expiry time.
 	Expired
 )
 
-// Reply is the response to an Ask or an End.
+// Reply is the response to a ClaimRequest or an OutcomeRecord.
 type Reply struct {
 	Status Status `json:"status,omitempty"`
 	State  State  `json:"state,omitempty"`
@@ -160,7 +161,7 @@
 	// MayBeRecorded means that a record of the attempt may be in the store although
 	// the claim was not granted; the attempt must be ended.
 	MayBeRecorded bool `json:"tainted,omitempty"`
-	// Clear means, in a reply whose Status is not Decided, that no earlier attempt
-	// with the key can have run the request by the time of this Ask.
-	Clear bool `json:"clear,omitempty"`
+	// NoEarlierRun means, in a reply whose Status is not Decided, that no earlier attempt
+	// with the key can have run the request by the time of this ClaimRequest.
+	NoEarlierRun bool `json:"clear,omitempty"`
 }
--- a/claims/ends.go
+++ b/claims/ends.go
@@ -17,7 +17,7 @@
 )
 
 // queueEnd queues an outcome to be sent to the owner of its shard.
-func (s *Service) queueEnd(e core.End) {
+func (s *Service) queueEnd(e core.OutcomeRecord) {
 	s.mu.Lock()
 	ok := s.ends.Push(e)
 	s.metrics.pending.Set(float64(s.ends.Len()))
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *Service) sendBatch(ctx context.Context, shard int, batch []core.End) {
+func (s *Service) sendBatch(ctx context.Context, shard int, batch []core.OutcomeRecord) {
 	ok := s.sendToOwner(ctx, shard, batch)
 	result := "recorded"
 	if !ok {
@@ -77,7 +77,7 @@
 
 // sendToOwner sends outcomes to the owner of a shard and reports whether it recorded all
 // of them.
-func (s *Service) sendToOwner(ctx context.Context, shard int, batch []core.End) bool {
+func (s *Service) sendToOwner(ctx context.Context, shard int, batch []core.OutcomeRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	node, ok := s.selector.pick(shard, 0)
@@ -99,7 +99,7 @@
 
 // recordAsOwner records outcomes as an owner of the shard and reports whether all of them
 // are recorded.
-func (s *Service) recordAsOwner(ctx context.Context, shard int, batch []core.End) bool {
+func (s *Service) recordAsOwner(ctx context.Context, shard int, batch []core.OutcomeRecord) bool {
 	var wg sync.WaitGroup
 	recorded := make([]bool, len(batch))
 	for i, e := range batch {
--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -272,7 +272,7 @@
 	s := DefaultSettings()
 	s.Shard.Interval = time.Millisecond
 	s.Shard.MaxStateAge = 0
-	s.Shard.MaxClearAge = time.Hour
+	s.Shard.MaxNoEarlierRunAge = time.Hour
 	s.Shard.Backoff = time.Millisecond
 	s.Attempt.Life = time.Minute
 	s.Ends.MinBackoff = time.Millisecond
--- a/claims/messages.go
+++ b/claims/messages.go
@@ -24,7 +24,7 @@
 
 // claimParams is the request to an owner for a claim; the result is a core.Reply.
 type claimParams struct {
-	Ask core.Ask `json:"ask"`
+	Ask core.ClaimRequest `json:"ask"`
 	// WaitMillis is the time within which the owner has to reply, in milliseconds.
 	WaitMillis int64 `json:"wait_ms"`
 }
@@ -33,8 +33,8 @@
 
 // endParams is the request to an owner to record outcomes of attempts of one shard.
 type endParams struct {
-	Shard int        `json:"shard"`
-	Ends  []core.End `json:"ends"`
+	Shard int                  `json:"shard"`
+	Ends  []core.OutcomeRecord `json:"ends"`
 }
 
 // endResult is the result of an endParams request. Recorded is true if all outcomes are
--- a/claims/owner.go
+++ b/claims/owner.go
@@ -49,11 +49,11 @@
 	failing bool
 }
 
-func (o *owner) ask(ctx context.Context, a core.Ask, wait time.Duration) (core.Reply, error) {
+func (o *owner) ask(ctx context.Context, a core.ClaimRequest, wait time.Duration) (core.Reply, error) {
 	return o.submit(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.Ask(now, ref, a, now+wait) })
 }
 
-func (o *owner) end(ctx context.Context, e core.End, wait time.Duration) (core.Reply, error) {
+func (o *owner) end(ctx context.Context, e core.OutcomeRecord, wait time.Duration) (core.Reply, error) {
 	return o.submit(ctx, func(s *core.Shard, now core.Instant, ref core.Ref) { s.End(now, ref, e, now+wait) })
 }
 
@@ -87,7 +87,7 @@
 	o.resetShard()
 	for ctx.Err() == nil {
 		o.processInbox()
-		o.shard.SetDuty(o.isPrimary(o.number))
+		o.shard.SetPrimary(o.isPrimary(o.number))
 		step := o.shard.Next(o.now())
 		o.sendReplies()
 		switch step.Kind {
--- a/claims/service.go
+++ b/claims/service.go
@@ -21,7 +21,7 @@
 type Settings struct {
 	Shard   core.Config
 	Attempt core.AttemptLimits
-	Ends    core.EndsConfig
+	Ends    core.OutcomeQueueConfig
 	Answers AnswerLimits
 }
 
@@ -30,7 +30,7 @@
 	return Settings{
 		Shard:   core.DefaultConfig(),
 		Attempt: core.DefaultAttemptLimits(),
-		Ends:    core.DefaultEndsConfig(),
+		Ends:    core.DefaultOutcomeQueueConfig(),
 		Answers: AnswerLimits{EntryBytes: 64 << 10, TotalBytes: 8 << 20, InheritedBytes: 4 << 20},
 	}
 }
@@ -49,7 +49,7 @@
 	start    time.Time
 
 	mu   sync.Mutex // guards ends
-	ends *core.Ends
+	ends *core.OutcomeQueue
 	wake chan struct{}
 }
 
@@ -73,7 +73,7 @@
 		metrics:  newMetrics(reg),
 		log:      l,
 		start:    time.Now(),
-		ends:     core.NewEnds(set.Ends),
+		ends:     core.NewOutcomeQueue(set.Ends),
 		wake:     make(chan struct{}, 1),
 	}
 	s.selector = newOwnerSelector(view, s.now)
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -60,7 +60,7 @@
 		{"ran, without an answer to keep", Ran, nil, testFingerprint, Done, false},
 		{"ran, with an answer too large to keep", Ran, &Answer{Body: make([]byte, 1<<20)}, testFingerprint, Done, false},
 		{"ran, key used for another request", Ran, answer, Fingerprint{2}, Mismatch, false},
-		{"lost", Lost, nil, testFingerprint, Unknown, false},
+		{"lost", PossiblyRun, nil, testFingerprint, Unknown, false},
 		{"not run", NotRun, nil, testFingerprint, Granted, false},
 		{"not run, key used for another request", NotRun, nil, Fingerprint{2}, Granted, false},
 	} {
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -53,7 +53,7 @@
 	case c.captured.complete:
 		return claims.Ran, c.captured.response()
 	case c.sent.Load():
-		return claims.Lost, nil
+		return claims.PossiblyRun, nil
 	default:
 		return claims.NotRun, nil
 	}
--- a/gateway/claim_test.go
+++ b/gateway/claim_test.go
@@ -69,7 +69,7 @@
 	switch o {
 	case claims.Ran:
 		r.state = claims.Done
-	case claims.Lost:
+	case claims.PossiblyRun:
 		r.state = claims.Unknown
 	default:
 		delete(r.claimer.records, r.key)
@@ -109,10 +109,10 @@
 	}{
 		{"answered", lettersPath, []*target{okTarget()}, 200, "", "", claims.Ran},
 		{"the service's own 503", lettersPath, []*target{statusTarget(503)}, 503, "", "", claims.Ran},
-		{"aborted", lettersPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.Lost},
+		{"aborted", lettersPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.PossiblyRun},
 		{"declared not run", lettersPath, []*target{notRunTarget()}, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
 		{"no target", lettersPath, nil, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
-		{"aborted chat is not repeated", chatPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.Lost},
+		{"aborted chat is not repeated", chatPath, []*target{abortTarget(), okTarget()}, 502, problem.TargetFailed, problem.MayHaveRun, claims.PossiblyRun},
 		{"chat refused, then answered", chatPath, []*target{statusTarget(503), okTarget()}, 200, "", "", claims.Ran},
 		{"chat refused everywhere", chatPath, []*target{statusTarget(503)}, 503, problem.NoTarget, problem.NotRun, claims.NotRun},
 	}
@@ -246,7 +246,7 @@
 	a := n.send(t, "POST", lettersPath, keyA, chatBody, HeaderIdempotencyKey, "k")
 	is.True(a.isRefusal(problem.Internal, problem.MayHaveRun))
 	got, _ := claimer.finished(t, "k")
-	is.Equal(got, claims.Lost)
+	is.Equal(got, claims.PossiblyRun)
 	is.True(n.released())
 
 	n.Gateway.admitter = nil
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -399,7 +399,7 @@
 	n := newNode(t, []http.Handler{newSSEEngine(5, fault{interruptAfter: 2}, fault{notHeld: true})}, withClaimer(claimer))
 	n.chat(t, streamReq, HeaderIdempotencyKey, "k")
 	outcome, _ := claimer.finished(t, "k")
-	is.Equal(outcome, claims.Lost)
+	is.Equal(outcome, claims.PossiblyRun)
 	a := n.chat(t, streamReq, HeaderIdempotencyKey, "k")
 	is.True(a.isRefusal(problem.ClaimUnknown, problem.MayHaveRun))
 }
--- a/lab/measure/claims/cost.go
+++ b/lab/measure/claims/cost.go
@@ -132,12 +132,12 @@
 }
 
 // arrivals calls f with a fresh ask and its entry node, as Poisson arrivals.
-func (b *bench) arrivals(f func(entry int, a core.Ask)) {
+func (b *bench) arrivals(f func(entry int, a core.ClaimRequest)) {
 	var next func()
 	n := uint64(0)
 	next = func() {
 		n++
-		a := core.Ask{Attempt: core.AttemptID(n), Holder: core.Holder{Node: "entry-0123", Incarnation: 1 << 60}}
+		a := core.ClaimRequest{Attempt: core.AttemptID(n), Holder: core.Holder{Node: "entry-0123", Incarnation: 1 << 60}}
 		binary.BigEndian.PutUint64(a.Key[:], b.rng.Uint64())
 		binary.BigEndian.PutUint64(a.Key[8:], n)
 		a.Fingerprint = core.Fingerprint(a.Key)
@@ -167,7 +167,7 @@
 func recordPerKey(seed uint64, l load) cost {
 	b := newBench(seed, l)
 	expired := make([][]string, l.nodes)
-	b.arrivals(func(entry int, a core.Ask) {
+	b.arrivals(func(entry int, a core.ClaimRequest) {
 		region, began := b.region(entry), b.now
 		key := "k/" + strconv.FormatUint(uint64(a.Attempt), 16) + string(a.Key[:])
 		value := make([]byte, claimBytes)
@@ -211,7 +211,7 @@
 			owners[i][j] = newBenchShard(b, i, j)
 		}
 	}
-	b.arrivals(func(entry int, a core.Ask) {
+	b.arrivals(func(entry int, a core.ClaimRequest) {
 		region, began := b.region(entry), b.now
 		view := 0
 		if float64(entry) < l.splitViews*float64(l.nodes) {
@@ -225,7 +225,7 @@
 					return
 				}
 				b.after(b.between(runTimeMin, runTimeMax), func() {
-					o.record(b, core.End{Key: a.Key, Attempt: a.Attempt, Outcome: core.Ran})
+					o.record(b, core.OutcomeRecord{Key: a.Key, Attempt: a.Attempt, Outcome: core.Ran})
 				})
 			})
 		})
@@ -238,7 +238,7 @@
 	return b.cost
 }
 
-func (b *bench) replied(a core.Ask, r core.Reply, began time.Duration) {
+func (b *bench) replied(a core.ClaimRequest, r core.Reply, began time.Duration) {
 	if r.Status != core.Decided {
 		b.cost.refusals = append(b.cost.refusals, b.now-began)
 		return
@@ -280,7 +280,7 @@
 }
 
 // record records an outcome; it is sent again while the store is out.
-func (o benchShard) record(b *bench, e core.End) {
+func (o benchShard) record(b *bench, e core.OutcomeRecord) {
 	o.end(e, endWait, func(r core.Reply) {
 		if r.Status != core.Recorded {
 			b.after(time.Second, func() { o.record(b, e) })
--- a/lab/measure/claims/entry.go
+++ b/lab/measure/claims/entry.go
@@ -39,7 +39,7 @@
 func (n *node) serve(key core.KeyID, ranBefore int, reply func(told)) {
 	w := n.w
 	w.attempts++
-	a := core.Ask{Key: key, Attempt: core.AttemptID(w.attempts), Holder: n.holder()}
+	a := core.ClaimRequest{Key: key, Attempt: core.AttemptID(w.attempts), Holder: n.holder()}
 	c := &call{node: n, reply: reply, began: w.now, ranBefore: ranBefore}
 	c.attempt = core.NewAttempt(a, w.now, core.Forever, core.DefaultAttemptLimits())
 	w.hit(pointAsk, n)
@@ -49,10 +49,10 @@
 func (c *call) ask() {
 	n, w := c.node, c.node.w
 	wait := max(0, c.attempt.Deadline()-w.now)
-	if c.attempt.Asked() == 0 {
+	if c.attempt.FailedCalls() == 0 {
 		wait = time.Duration(float64(wait) * callShare)
 	}
-	tries := c.attempt.Asked()
+	tries := c.attempt.FailedCalls()
 	shard := c.attempt.Ask.Key.Shard()
 	m := n.owner(shard, tries)
 	sent := n.send(m, func() {
@@ -68,7 +68,7 @@
 }
 
 func (c *call) failed(tries int, seen bool) {
-	if tries == c.attempt.Asked() {
+	if tries == c.attempt.FailedCalls() {
 		c.act(c.attempt.Failed(c.node.w.now, seen))
 	}
 }
@@ -76,10 +76,10 @@
 func (c *call) replied(r core.Reply) {
 	w := c.node.w
 	d := c.attempt.Replied(w.now, r)
-	if w.mutation == mutateLateGrant && d.Move == core.MoveNothing && r.Status == core.Decided && r.State == core.Granted {
+	if w.mutation == mutateLateGrant && d.Action == core.ActionNothing && r.Status == core.Decided && r.State == core.Granted {
 		c.send()
 	}
-	if w.mutation == mutateFailOpen && d.Move == core.MoveRefuse {
+	if w.mutation == mutateFailOpen && d.Action == core.ActionRefuse {
 		c.send()
 		return
 	}
@@ -87,15 +87,15 @@
 }
 
 func (c *call) act(d core.Decision) {
-	if d.Abandon {
+	if d.MustRecordEnd {
 		c.node.push(c.attempt.End(core.NotRun))
 	}
-	switch d.Move {
-	case core.MoveAsk:
+	switch d.Action {
+	case core.ActionAsk:
 		c.ask()
-	case core.MoveRefuse:
-		c.refuse(d.Clear)
-	case core.MoveVerdict:
+	case core.ActionRefuse:
+		c.refuse(d.NoEarlierRun)
+	case core.ActionVerdict:
 		c.verdict(d.State)
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	outcome := core.Ran
 	if w.chance(targetDies) {
-		outcome = core.Lost
+		outcome = core.PossiblyRun
 	}
 	w.after(arrive, func() {
 		w.ran(c.attempt.Ask)
@@ -187,7 +187,7 @@
 func (c *call) finish(o core.Outcome) {
 	w := c.node.w
 	if e, ok := c.attempt.Finish(o); ok {
-		if w.mutation == mutateLostIsNotRun && o == core.Lost {
+		if w.mutation == mutateLostIsNotRun && o == core.PossiblyRun {
 			e.Outcome = core.NotRun
 		}
 		c.node.push(e)
@@ -202,7 +202,7 @@
 	}
 }
 
-func (n *node) push(e core.End) {
+func (n *node) push(e core.OutcomeRecord) {
 	n.ends.Push(e)
 	n.pumpEnds()
 }
--- a/lab/measure/claims/history.go
+++ b/lab/measure/claims/history.go
@@ -143,7 +143,7 @@
 }
 
 // ran counts a run at a target.
-func (h *history) ran(a core.Ask) {
+func (h *history) ran(a core.ClaimRequest) {
 	h.runs[a.Key]++
 	h.ranBy[a.Attempt]++
 }
--- a/lab/measure/claims/node.go
+++ b/lab/measure/claims/node.go
@@ -23,7 +23,7 @@
 	blindTo    int
 
 	shards map[int]*stepper
-	ends   *core.Ends
+	ends   *core.OutcomeQueue
 	tells  int // failed calls with outcomes, to pick another owner
 }
 
@@ -66,7 +66,7 @@
 func (n *node) boot() {
 	n.down = false
 	n.shards = make(map[int]*stepper)
-	n.ends = core.NewEnds(core.DefaultEndsConfig())
+	n.ends = core.NewOutcomeQueue(core.DefaultOutcomeQueueConfig())
 }
 
 func (n *node) holder() core.Holder { return core.Holder{Node: n.name(), Incarnation: int64(n.epoch)} }
@@ -112,7 +112,7 @@
 		o = newStepper(ownerIO{n, s}, s)
 		n.shards[number] = o
 	}
-	o.shard.SetDuty(n.owner(number, 0) == n)
+	o.shard.SetPrimary(n.owner(number, 0) == n)
 	return o
 }
 
@@ -155,7 +155,7 @@
 	}
 }
 
-func (n *node) tell(shard int, batch []core.End) {
+func (n *node) tell(shard int, batch []core.OutcomeRecord) {
 	w := n.w
 	over := false
 	finish := func(ok bool) {
--- a/lab/measure/claims/stepper.go
+++ b/lab/measure/claims/stepper.go
@@ -29,7 +29,7 @@
 	return &stepper{in: in, shard: s, waits: make(map[core.Ref]func(core.Reply))}
 }
 
-func (s *stepper) ask(a core.Ask, wait time.Duration, done func(core.Reply)) {
+func (s *stepper) ask(a core.ClaimRequest, wait time.Duration, done func(core.Reply)) {
 	s.refs++
 	s.waits[s.refs] = done
 	now := s.in.time()
@@ -41,7 +41,7 @@
 	s.pump()
 }
 
-func (s *stepper) end(e core.End, wait time.Duration, done func(core.Reply)) {
+func (s *stepper) end(e core.OutcomeRecord, wait time.Duration, done func(core.Reply)) {
 	s.refs++
 	s.waits[s.refs] = done
 	now := s.in.time()
--- a/lab/measure/claims/takeover_test.go
+++ b/lab/measure/claims/takeover_test.go
@@ -42,8 +42,8 @@
 	const commitsPerSecond = 7
 	cfg := core.DefaultConfig()
 	s := core.NewShard(0, cfg, holderAlive)
-	ask := func(n int) core.Ask {
-		a := core.Ask{Attempt: core.AttemptID(uint64(n) << 33), Holder: core.Holder{Node: "entry-0123", Incarnation: 1 << 60}}
+	ask := func(n int) core.ClaimRequest {
+		a := core.ClaimRequest{Attempt: core.AttemptID(uint64(n) << 33), Holder: core.Holder{Node: "entry-0123", Incarnation: 1 << 60}}
 		binary.BigEndian.PutUint64(a.Key[4:], uint64(n)*0x9e3779b97f4a7c15)
 		a.Fingerprint = core.Fingerprint(a.Key)
 		return a
@@ -57,7 +57,7 @@
 			s.Ask(now, core.Ref(2*n), a, core.Forever)
 			if n > delay {
 				e := ask(n - delay)
-				s.End(now, core.Ref(2*n+1), core.End{Key: e.Key, Attempt: e.Attempt, Outcome: core.Ran}, core.Forever)
+				s.End(now, core.Ref(2*n+1), core.OutcomeRecord{Key: e.Key, Attempt: e.Attempt, Outcome: core.Ran}, core.Forever)
 			}
 		}
 		take(b, s, now, st)
@@ -79,7 +79,7 @@
 			var keys int
 			for b.Loop() {
 				s := core.NewShard(0, core.DefaultConfig(), holderAlive)
-				s.Ask(now, 1, core.Ask{Key: core.KeyID{1}}, core.Forever)
+				s.Ask(now, 1, core.ClaimRequest{Key: core.KeyID{1}}, core.Forever)
 				take(b, s, now, client)
 				keys, _ = s.Len()
 			}
