--- a/admission/plan.go
+++ b/admission/plan.go
@@ -71,7 +71,7 @@
 	}
 	for _, n := range in.view.Nodes {
 		if _, ok := p.candidates[n.Region]; !ok {
-			p.candidates[n.Region] = newOwnerCandidates(in.view.Duty(n.Region), left)
+			p.candidates[n.Region] = newOwnerCandidates(in.view.Eligible(n.Region), left)
 		}
 	}
 	return p
--- a/admission/service_test.go
+++ b/admission/service_test.go
@@ -377,7 +377,7 @@
 	is.NoErr(err)
 	held.add(g)
 	is.NoErr(owner.Drain(context.Background()))
-	is.Equal(owner.plan().candidates[testRegion].nodes, slices.DeleteFunc(f.view().Duty(testRegion), func(n membership.Node) bool { return n.ID == owner.cfg.Node }))
+	is.Equal(owner.plan().candidates[testRegion].nodes, slices.DeleteFunc(f.view().Eligible(testRegion), func(n membership.Node) bool { return n.ID == owner.cfg.Node }))
 	_, err = f.acquire((self+1)%4, 2) // the ask announces the draining node to the next owner
 	is.NoErr(err)
 	f.advance(0)
--- a/lab/measure/membership/membership.go
+++ b/lab/measure/membership/membership.go
@@ -89,16 +89,16 @@
 	f.Run(settleTime)
 	r := row{nodes: nodes, loss: loss}
 	r.steady(f)
-	heard := func(n *membershiptest.Node) bool { return len(n.Heard) > 0 }
+	heard := func(n *membershiptest.Node) bool { return len(n.LeavingReportedAt) > 0 }
 	r.target = until(f, all(f, heard), func() {
-		f.Learn(0, targets.Word{Target: "engine-1", Incarnation: 1, Leaving: true})
+		f.ReportLeaving(0, targets.Report{Target: "engine-1", Incarnation: 1, Leaving: true})
 	})
 	r.leaving = until(f, all(f, excludes(f.Nodes[1].ID)), f.Nodes[1].Leave)
 	for _, victim := range f.Nodes[2 : 2+kills] {
 		r.kill(f, victim)
 	}
 	for _, n := range f.Nodes {
-		r.most = max(r.most, n.MostSent)
+		r.most = max(r.most, n.MaxSentPerEvent)
 	}
 	return r
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -14,7 +14,7 @@
 type broadcastQueue struct {
 	nodes   []nodeBroadcast
 	reports []reportBroadcast
-	sent    []targets.Word // reports sent as often as required, the last maxSentReports
+	sent    []targets.Report // reports sent as often as required, the last maxSentReports
 }
 
 // nodeBroadcast is a node whose current record is still to be sent.
@@ -25,7 +25,7 @@
 
 // reportBroadcast is a report of a leaving target that is still to be sent.
 type reportBroadcast struct {
-	report    targets.Word
+	report    targets.Report
 	sendsLeft int
 }
 
@@ -36,7 +36,7 @@
 	q.nodes = append(q.nodes, nodeBroadcast{id, sends})
 }
 
-func (q *broadcastQueue) addReport(report targets.Word, sends int) {
+func (q *broadcastQueue) addReport(report targets.Report, sends int) {
 	q.reports = append(q.reports, reportBroadcast{report, sends})
 }
 
@@ -55,9 +55,9 @@
 
 // takeReports returns up to limit reports that are sent next, those with the most
 // sends left first.
-func (q *broadcastQueue) takeReports(limit int) []targets.Word {
+func (q *broadcastQueue) takeReports(limit int) []targets.Report {
 	slices.SortStableFunc(q.reports, func(a, b reportBroadcast) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
-	var out []targets.Word
+	var out []targets.Report
 	for i := range min(limit, len(q.reports)) {
 		q.reports[i].sendsLeft--
 		out = append(out, q.reports[i].report)
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -156,7 +156,7 @@
 func (m *Machine) broadcastSelf() { m.queue.addNode(m.self.ID, m.sendCount()) }
 
 // BroadcastLeaving queues a report of a leaving target for other nodes.
-func (m *Machine) BroadcastLeaving(report targets.Word) { m.queue.addReport(report, m.sendCount()) }
+func (m *Machine) BroadcastLeaving(report targets.Report) { m.queue.addReport(report, m.sendCount()) }
 
 // ApplyList takes the nodes to probe from a VM list. For a node that is already known,
 // its list entry is merged like a record from another node.
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -124,8 +124,8 @@
 		n.Partition = 1
 	}
 	f.Run(time.Hour)
-	is.Equal(len(f.Nodes[0].View().Duty("r")), 5) // each part shows only its own nodes as alive
-	is.Equal(len(f.Nodes[11].View().Duty("r")), 7)
+	is.Equal(len(f.Nodes[0].View().Eligible("r")), 5) // each part shows only its own nodes as alive
+	is.Equal(len(f.Nodes[11].View().Eligible("r")), 7)
 	for _, n := range f.Nodes {
 		n.Partition = 0
 	}
@@ -161,8 +161,8 @@
 		f.Loss = 0
 		for _, node := range f.Nodes {
 			node.Partition = 0
-			if node.MostSent > 8 {
-				t.Fatalf("%d messages for one event", node.MostSent)
+			if node.MaxSentPerEvent > 8 {
+				t.Fatalf("%d messages for one event", node.MaxSentPerEvent)
 			}
 		}
 		f.Run(90 * time.Second)
@@ -220,10 +220,10 @@
 				f := newFleet(nodes, 1)
 				f.Loss = loss
 				f.Run(time.Second)
-				f.Learn(0, targets.Word{Target: "engine-1", Incarnation: 7, Leaving: true})
+				f.ReportLeaving(0, targets.Report{Target: "engine-1", Incarnation: 7, Leaving: true})
 				heard := func() bool {
 					for _, n := range f.Nodes {
-						if len(n.Heard) == 0 {
+						if len(n.LeavingReportedAt) == 0 {
 							return false
 						}
 					}
@@ -245,11 +245,11 @@
 	f := newFleet(nodes, 1)
 	f.Run(time.Minute)
 	for i := range engines {
-		f.Learn(i%nodes, targets.Word{Target: fmt.Sprint("engine-", i), Incarnation: 7, Leaving: true})
+		f.ReportLeaving(i%nodes, targets.Report{Target: fmt.Sprint("engine-", i), Incarnation: 7, Leaving: true})
 	}
 	is.True(f.RunUntil(3*time.Second, func() bool {
 		for _, n := range f.Nodes {
-			if len(n.Heard) < engines {
+			if len(n.LeavingReportedAt) < engines {
 				return false
 			}
 		}
@@ -300,12 +300,12 @@
 	f := newFleet(8, 1)
 	f.Run(10 * time.Second)
 	f.Nodes[0].Partition = 1
-	f.Learn(0, targets.Word{Target: "engine-1", Incarnation: 7, Leaving: true})
+	f.ReportLeaving(0, targets.Report{Target: "engine-1", Incarnation: 7, Leaving: true})
 	f.Run(2 * time.Second)
 	f.Nodes[0].Partition = 0
 	is.True(f.RunUntil(10*time.Second, func() bool {
 		for _, n := range f.Nodes {
-			if len(n.Heard) == 0 {
+			if len(n.LeavingReportedAt) == 0 {
 				return false
 			}
 		}
@@ -370,8 +370,8 @@
 	}}, now)
 	v := m.View(now)
 	is.Equal(len(v.Nodes), 4)
-	is.Equal(len(v.Duty("r")), 2)
-	is.Equal(len(v.Duty("other")), 1)
+	is.Equal(len(v.Eligible("r")), 2)
+	is.Equal(len(v.Eligible("other")), 1)
 	m.ApplyList(vmlist.List{Version: 2}, now) // b was known only from the list
 	is.Equal(len(m.View(now).Nodes), 1)
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -93,9 +93,9 @@
 	return v.Nodes[i], true
 }
 
-// Duty returns the nodes of a region to which duties may be assigned: those that are
+// Eligible returns the nodes of a region to which duties may be assigned: those that are
 // alive or suspect, not those that are leaving or dead.
-func (v *View) Duty(region string) []Node {
+func (v *View) Eligible(region string) []Node {
 	var out []Node
 	for _, n := range v.Nodes {
 		if n.Region == region && n.State <= Suspect {
--- a/membership/membershiptest/fleet.go
+++ b/membership/membershiptest/fleet.go
@@ -25,8 +25,8 @@
 // Node is one node of a Fleet.
 type Node struct {
 	*membership.Machine
-	ID    string
-	Heard map[string]time.Time // when it received the first leaving report, by target
+	ID                string
+	LeavingReportedAt map[string]time.Time // when it received the first leaving report, by target
 	// Down drops messages to the node and skips its ticks.
 	Down bool
 	// Partition is the part of a partitioned network that the node is in. Messages
@@ -35,8 +35,8 @@
 	// Messages and Bytes count what the node has sent; Bytes only while
 	// Fleet.CountBytes is set.
 	Messages, Bytes int64
-	// MostSent is the maximum number of messages that it sent for one event.
-	MostSent int
+	// MaxSentPerEvent is the maximum number of messages that it sent for one event.
+	MaxSentPerEvent int
 
 	addr  string
 	fleet *Fleet
@@ -87,7 +87,7 @@
 	}
 	seed := f.rng.Uint64()
 	n.Machine = membership.NewMachine(self, f.cfg, rand.New(rand.NewPCG(seed, seed)), f.Now)
-	n.Down, n.Heard = false, make(map[string]time.Time)
+	n.Down, n.LeavingReportedAt = false, make(map[string]time.Time)
 	n.Machine.ApplyList(f.list, f.Now)
 	offset := time.Duration(f.rng.Int64N(int64(f.cfg.GossipInterval)))
 	f.push(event{at: f.Now.Add(offset), node: n, machine: n.Machine})
@@ -115,8 +115,8 @@
 	}
 }
 
-// Learn makes node i learn that a target is leaving.
-func (f *Fleet) Learn(i int, report targets.Word) { f.learn(f.Nodes[i], report) }
+// ReportLeaving makes node i learn that a target is leaving.
+func (f *Fleet) ReportLeaving(i int, report targets.Report) { f.learn(f.Nodes[i], report) }
 
 // Run advances the virtual time by d.
 func (f *Fleet) Run(d time.Duration) {
@@ -164,9 +164,9 @@
 }
 
 // learn records and broadcasts the first leaving report of a target at a node.
-func (f *Fleet) learn(n *Node, report targets.Word) {
-	if _, ok := n.Heard[report.Target]; !ok {
-		n.Heard[report.Target] = f.Now
+func (f *Fleet) learn(n *Node, report targets.Report) {
+	if _, ok := n.LeavingReportedAt[report.Target]; !ok {
+		n.LeavingReportedAt[report.Target] = f.Now
 		n.BroadcastLeaving(report)
 	}
 }
@@ -182,7 +182,7 @@
 // send counts messages of a node and schedules the delivery of those that are not lost.
 func (f *Fleet) send(from *Node, out []membership.Envelope) {
 	from.Messages += int64(len(out))
-	from.MostSent = max(from.MostSent, len(out))
+	from.MaxSentPerEvent = max(from.MaxSentPerEvent, len(out))
 	for _, e := range out {
 		if f.CountBytes {
 			raw, _ := json.Marshal(e.Message)
--- a/membership/message.go
+++ b/membership/message.go
@@ -23,8 +23,8 @@
 	Seq     uint64 `json:"q,omitempty"`
 	Subject *Node  `json:"t,omitempty"`
 	// Members are records of nodes. Leaving are reports of leaving targets.
-	Members []Node         `json:"m,omitempty"`
-	Leaving []targets.Word `json:"l,omitempty"`
+	Members []Node           `json:"m,omitempty"`
+	Leaving []targets.Report `json:"l,omitempty"`
 }
 
 // Envelope is a message and the address of its receiver.
--- a/membership/service.go
+++ b/membership/service.go
@@ -40,8 +40,8 @@
 // other nodes; targets.Registry implements it.
 type Targets interface {
 	OnList(f func(vmlist.List))
-	OnLeaving(f func(targets.Word))
-	Learn(reports ...targets.Word)
+	OnLeaving(f func(targets.Report))
+	Learn(reports ...targets.Report)
 }
 
 // Members is the service that implements Source: it runs a Machine on the network.
@@ -166,7 +166,7 @@
 	})
 }
 
-func (m *Members) broadcastLeaving(report targets.Word) {
+func (m *Members) broadcastLeaving(report targets.Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.machine.BroadcastLeaving(report)
--- a/membership/service_test.go
+++ b/membership/service_test.go
@@ -77,11 +77,11 @@
 func TestDrainingNodeGetsNoDuties(t *testing.T) {
 	is := is.New(t)
 	nodes := startNodes(t, "a", "b", "c")
-	is.Equal(len(nodes[0].View().Duty("r")), 3)
+	is.Equal(len(nodes[0].View().Eligible("r")), 3)
 	is.NoErr(nodes[1].Drain(context.Background()))
-	is.Equal(len(nodes[1].View().Duty("r")), 2) // its own view changes at once
+	is.Equal(len(nodes[1].View().Eligible("r")), 2) // its own view changes at once
 	eventually(t, "others exclude the leaving node", func() bool {
-		return len(nodes[0].View().Duty("r")) == 2 && len(nodes[2].View().Duty("r")) == 2
+		return len(nodes[0].View().Eligible("r")) == 2 && len(nodes[2].View().Eligible("r")) == 2
 	})
 	is.NoErr(nodes[1].Stop(context.Background()))
 	eventually(t, "others record the stopped node as dead", func() bool {
--- a/orders/specs.go
+++ b/orders/specs.go
@@ -64,7 +64,7 @@
 // the membership differ, more nodes contend, which costs store calls only: the
 // lease alone decides the issuer.
 func contends(v *membership.View, region, duty, node string) bool {
-	nodes := v.Duty(region)
+	nodes := v.Eligible(region)
 	hashes := make([]uint64, len(nodes))
 	for i, n := range nodes {
 		hashes[i] = routing.Hash(n.ID)
--- a/peer/hub.go
+++ b/peer/hub.go
@@ -97,10 +97,12 @@
 // Handle registers f as the handler of method. It must be called before Start.
 func (h *Hub) Handle(method string, f Handler) { h.handlers[method] = f }
 
-// Limit sets the maximum number of concurrent calls of a method, over all peers
+// LimitConcurrency sets the maximum number of concurrent calls of a method, over all peers
 // together; further callers get ErrBusy. A call counts until its result is written.
-// Limit must be called before Start and does not apply to notifications.
-func (h *Hub) Limit(method string, limit int) { h.limits[method] = make(chan struct{}, limit) }
+// LimitConcurrency must be called before Start and does not apply to notifications.
+func (h *Hub) LimitConcurrency(method string, limit int) {
+	h.limits[method] = make(chan struct{}, limit)
+}
 
 // CloseIdleAfter makes the hub close connections that no call has used for d. A
 // connection takes about 25 kB at either end, so this is for nodes that call each
--- a/peer/limit_test.go
+++ b/peer/limit_test.go
@@ -23,7 +23,7 @@
 		<-release
 		return "done", nil
 	})
-	server.Limit("copy", limit)
+	server.LimitConcurrency("copy", limit)
 	server.Handle("echo", echo)
 	start(t, server)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/replica/audit_test.go
+++ b/replica/audit_test.go
@@ -47,7 +47,7 @@
 func (*stubPeers) WatcherRank(bool) (rank, discovered int) { return 9, 300 }
 func (p *stubPeers) Announce()                             { p.announced++ }
 func (*stubPeers) Handle(string, peer.Handler)             {}
-func (*stubPeers) Limit(string, int)                       {}
+func (*stubPeers) LimitConcurrency(string, int)            {}
 func (*stubPeers) Call(context.Context, string, string, any, any) error {
 	return nil
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -60,8 +60,8 @@
 // Network carries calls between nodes.
 type Network interface {
 	Handle(method string, f peer.Handler)
-	// Limit bounds the concurrently served calls of a method.
-	Limit(method string, limit int)
+	// LimitConcurrency bounds the concurrently served calls of a method.
+	LimitConcurrency(method string, limit int)
 	Call(ctx context.Context, addr, method string, params, result any) error
 }
 
@@ -135,7 +135,7 @@
 	}
 	r.state = newCopyState(s, r.reportInvalidValue, r.reportUnusableEntry)
 	n.Handle(copyMethod, r.serveCopy)
-	n.Limit(copyMethod, maxConcurrentCopies)
+	n.LimitConcurrency(copyMethod, maxConcurrentCopies)
 	return r
 }
 
--- a/targets/book.go
+++ b/targets/book.go
@@ -23,7 +23,7 @@
 }
 
 // add records a leaving report and returns whether it changed the records.
-func (l *leavingRecords) add(report Word) bool {
+func (l *leavingRecords) add(report Report) bool {
 	known, ok := l.leaving[report.Target]
 	if !report.Leaving || ok && known >= report.Incarnation {
 		return false
@@ -36,12 +36,12 @@
 }
 
 // merge merges the state of a target in the VM list with its leaving record.
-func (l *leavingRecords) merge(listed Word) Word {
+func (l *leavingRecords) merge(listed Report) Report {
 	known, ok := l.leaving[listed.Target]
 	if !ok {
 		return listed
 	}
-	return Merge(listed, Word{Target: listed.Target, Incarnation: known, Leaving: true})
+	return Merge(listed, Report{Target: listed.Target, Incarnation: known, Leaving: true})
 }
 
 // prune removes the oldest records of targets that are not in the VM list, so
@@ -67,11 +67,11 @@
 }
 
 // reports returns all records as leaving reports, ordered by target.
-func (l *leavingRecords) reports() []Word {
-	out := make([]Word, 0, len(l.leaving))
+func (l *leavingRecords) reports() []Report {
+	out := make([]Report, 0, len(l.leaving))
 	for id, inc := range l.leaving {
-		out = append(out, Word{Target: id, Incarnation: inc, Leaving: true})
+		out = append(out, Report{Target: id, Incarnation: inc, Leaving: true})
 	}
-	slices.SortFunc(out, func(a, b Word) int { return strings.Compare(a.Target, b.Target) })
+	slices.SortFunc(out, func(a, b Report) int { return strings.Compare(a.Target, b.Target) })
 	return out
 }
--- a/targets/report.go
+++ b/targets/report.go
@@ -1,9 +1,9 @@
 package targets
 
-// Word is a report that an incarnation of a target is live or leaving. The sources
+// Report states that an incarnation of a target is live or leaving. The sources
 // of reports are the VM list, the target's own responses and other nodes; reports
 // may arrive late and in any order.
-type Word struct {
+type Report struct {
 	Target      string `json:"t"`
 	Incarnation int64  `json:"i"`
 	Leaving     bool   `json:"-"`
@@ -11,7 +11,7 @@
 
 // Supersedes returns whether w overrides b, a report about the same target: the
 // newer incarnation does, and within an incarnation leaving overrides live.
-func (w Word) Supersedes(b Word) bool {
+func (w Report) Supersedes(b Report) bool {
 	if w.Incarnation != b.Incarnation {
 		return w.Incarnation > b.Incarnation
 	}
@@ -21,7 +21,7 @@
 // Merge returns whichever of a and b, two reports about the same target, supersedes
 // the other. It is commutative, associative and idempotent, so that nodes that
 // received the same reports agree, whatever the order.
-func Merge(a, b Word) Word {
+func Merge(a, b Report) Report {
 	if b.Supersedes(a) {
 		return b
 	}
--- a/targets/snapshot.go
+++ b/targets/snapshot.go
@@ -73,8 +73,8 @@
 	}
 }
 
-func reportFromVM(vm vmlist.VM) Word {
-	return Word{Target: vm.ID, Incarnation: vm.Incarnation, Leaving: vm.State == vmlist.StateLeaving}
+func reportFromVM(vm vmlist.VM) Report {
+	return Report{Target: vm.ID, Incarnation: vm.Incarnation, Leaving: vm.State == vmlist.StateLeaving}
 }
 
 // markHeld marks the held-down targets of a pool as leaving, up to the share that
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -40,7 +40,7 @@
 	// target is held down.
 	firstHoldEnd time.Time
 	onList       []func(vmlist.List)
-	onLeaving    []func(Word)
+	onLeaving    []func(Report)
 }
 
 // Option configures a Registry.
@@ -91,7 +91,7 @@
 // OnLeaving registers f to be called with each leaving report that is new to this
 // node, whatever its source. It must be called before Start; f must not call the
 // registry.
-func (r *Registry) OnLeaving(f func(Word)) { r.onLeaving = append(r.onLeaving, f) }
+func (r *Registry) OnLeaving(f func(Report)) { r.onLeaving = append(r.onLeaving, f) }
 
 // Start implements kernel.Starter. It reads the VM list once before it returns; a
 // failed read is logged and retried after the interval.
@@ -140,21 +140,21 @@
 // ObserveLeaving records that a target's own response reported it as leaving.
 // incarnation is the target's incarnation in the snapshot from which it was chosen.
 func (r *Registry) ObserveLeaving(target string, incarnation int64) {
-	r.recordAll(sourceAnswer, Word{Target: target, Incarnation: incarnation, Leaving: true})
+	r.recordAll(sourceAnswer, Report{Target: target, Incarnation: incarnation, Leaving: true})
 }
 
 // Learn records leaving reports received from other nodes.
-func (r *Registry) Learn(reports ...Word) { r.recordAll(sourcePeer, reports...) }
+func (r *Registry) Learn(reports ...Report) { r.recordAll(sourcePeer, reports...) }
 
 // Leaving returns all leaving reports kept, ordered by target.
-func (r *Registry) Leaving() []Word {
+func (r *Registry) Leaving() []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.records.reports()
 }
 
 // recordAll records reports and publishes a new snapshot if one of them was new.
-func (r *Registry) recordAll(source string, reports ...Word) {
+func (r *Registry) recordAll(source string, reports ...Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
@@ -168,7 +168,7 @@
 
 // record records a report and returns whether it was new; if so it calls the
 // OnLeaving functions. The lock must be held.
-func (r *Registry) record(report Word, source string) bool {
+func (r *Registry) record(report Report, source string) bool {
 	if !r.records.add(report) {
 		return false
 	}
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -34,7 +34,7 @@
 func TestSourcesOfWords(t *testing.T) {
 	live, leaving := vmlist.StateLive, vmlist.StateLeaving
 	peer := func(incarnation int64) func(*Registry) {
-		return func(r *Registry) { r.Learn(Word{Target: "e", Incarnation: incarnation, Leaving: true}) }
+		return func(r *Registry) { r.Learn(Report{Target: "e", Incarnation: incarnation, Leaving: true}) }
 	}
 	answer := func(incarnation int64) func(*Registry) {
 		return func(r *Registry) { r.ObserveLeaving("e", incarnation) }
@@ -87,8 +87,8 @@
 }
 
 // reports generates reports about one target.
-var reports = rapid.Custom(func(t *rapid.T) Word {
-	return Word{
+var reports = rapid.Custom(func(t *rapid.T) Report {
+	return Report{
 		Target:      "e",
 		Incarnation: rapid.Int64Range(1, 4).Draw(t, "incarnation"),
 		Leaving:     rapid.Bool().Draw(t, "leaving"),
@@ -148,14 +148,14 @@
 func TestOnLeavingIsCalledOncePerReport(t *testing.T) {
 	is := is.New(t)
 	r := newTestRegistry()
-	var passed []Word
-	r.OnLeaving(func(w Word) { passed = append(passed, w) })
+	var passed []Report
+	r.OnLeaving(func(w Report) { passed = append(passed, w) })
 	r.Apply(list(1, engine("a", 1, vmlist.StateLive), engine("b", 1, vmlist.StateLeaving)))
 	r.ObserveLeaving("a", 1)
 	r.ObserveLeaving("a", 1)
-	r.Learn(Word{Target: "a", Incarnation: 1, Leaving: true})
+	r.Learn(Report{Target: "a", Incarnation: 1, Leaving: true})
 	r.Apply(list(2, engine("a", 1, vmlist.StateLeaving), engine("b", 1, vmlist.StateLeaving)))
-	is.Equal(passed, []Word{{"b", 1, true}, {"a", 1, true}})
+	is.Equal(passed, []Report{{"b", 1, true}, {"a", 1, true}})
 }
 
 func TestFlappingTargetIsHeldDown(t *testing.T) {
@@ -199,7 +199,7 @@
 	is := is.New(t)
 	l := newLeavingRecords()
 	for i := range 20 {
-		l.add(Word{Target: fmt.Sprint(i), Incarnation: 1, Leaving: true})
+		l.add(Report{Target: fmt.Sprint(i), Incarnation: 1, Leaving: true})
 	}
 	l.prune(map[string]bool{"0": true, "1": true}, 5)
 	is.Equal(len(l.leaving), 7)
