--- a/cmd/knapweedgw/orders.go
+++ b/cmd/knapweedgw/orders.go
@@ -56,7 +56,7 @@
 }
 
 func readPools(ctx context.Context, s store.Store) ([]poolStatus, error) {
-	duties, err := s.List(ctx, lease.Key(orders.DutyPrefix))
+	duties, err := s.List(ctx, lease.Key(orders.LeasePrefix))
 	if err != nil {
 		return nil, err
 	}
@@ -66,9 +66,9 @@
 		if err != nil {
 			return nil, err
 		}
-		holders[strings.TrimPrefix(kv.Key, lease.Key(orders.DutyPrefix))] = rec
+		holders[strings.TrimPrefix(kv.Key, lease.Key(orders.LeasePrefix))] = rec
 	}
-	records, err := s.List(ctx, orders.Prefix)
+	records, err := s.List(ctx, orders.RecordPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 		if err != nil {
 			return nil, err
 		}
-		name := strings.TrimPrefix(kv.Key, orders.Prefix)
+		name := strings.TrimPrefix(kv.Key, orders.RecordPrefix)
 		pools = append(pools, poolStatus{name, holders[name], rec})
 	}
 	return pools, nil
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -91,5 +91,5 @@
 }
 
 func (s *Orders) serveJournal(_ *restful.Request, w *restful.Response) {
-	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.Journal())
+	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.AppliedOrders())
 }
--- a/lab/engine/orders_service_test.go
+++ b/lab/engine/orders_service_test.go
@@ -43,7 +43,7 @@
 	limits.MaxOutShare = 1
 	cfg := lease.DefaultConfig()
 	cfg.RenewEvery, cfg.Retry = 100*time.Millisecond, 100*time.Millisecond
-	svc := orders.NewService(orders.Deps{
+	svc := orders.NewService(orders.IssuerConfig{
 		Node: id, Region: "r", Limits: limits, Store: s, Client: orders.NewHTTPClient(),
 		Metrics: orders.NewMetrics(reg), Log: log.New(io.Discard), Now: time.Now,
 	}, cfg, lease.NewMetrics(reg))
@@ -79,17 +79,17 @@
 	is.NoErr(a.Stop(context.Background()))
 	await(t, engines, "2")
 	for _, o := range engines {
-		j := o.engine.Journal()
+		j := o.engine.AppliedOrders()
 		is.True(j[len(j)-1].Order.Fence > j[0].Order.Fence)
 	}
-	kv, ok, err := s.Get(context.Background(), orders.Key("r", "m"))
+	kv, ok, err := s.Get(context.Background(), orders.RecordKey("r", "m"))
 	is.NoErr(err)
 	is.True(ok)
 	rec, err := orders.ParseRecord(kv)
 	is.NoErr(err)
 	is.Equal(rec.Issuer, "b")
 	is.NoErr(b.Stop(context.Background()))
-	_, held, err := s.Get(context.Background(), lease.Key(orders.Duty("r", "m")))
+	_, held, err := s.Get(context.Background(), lease.Key(orders.LeaseName("r", "m")))
 	is.NoErr(err)
 	is.True(!held)
 }
--- a/lab/fleettest/orders_test.go
+++ b/lab/fleettest/orders_test.go
@@ -91,7 +91,7 @@
 	t.Helper()
 	s := etcd.New([]string{f.platformURL}, patience)
 	eventually(t, "there is an issuer", func() bool {
-		kv, ok, err := s.Get(t.Context(), lease.Key(orders.Duty(region, model)))
+		kv, ok, err := s.Get(t.Context(), lease.Key(orders.LeaseName(region, model)))
 		if err != nil || !ok {
 			return false
 		}
@@ -116,16 +116,16 @@
 	}
 }
 
-func journal(t *testing.T, url string) []orderstest.Entry {
+func journal(t *testing.T, url string) []orderstest.AppliedOrder {
 	t.Helper()
-	var entries []orderstest.Entry
+	var entries []orderstest.AppliedOrder
 	if err := getJSON(url+"/lab/orders/journal", &entries); err != nil {
 		t.Fatal(err)
 	}
 	return entries
 }
 
-func inOrder(entries []orderstest.Entry) bool {
+func inOrder(entries []orderstest.AppliedOrder) bool {
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Order.Fence < entries[i-1].Order.Fence {
 			return false
--- a/lab/measure/orders/fleet.go
+++ b/lab/measure/orders/fleet.go
@@ -112,8 +112,8 @@
 
 func newContender(c counted, name, node string, clock func() time.Time) *contender {
 	reg := prometheus.NewRegistry()
-	k := lease.NewKeeper(c, lease.DefaultConfig(), orders.Duty("r", name), node, lease.NewMetrics(reg), clock)
-	return &contender{keeper: k, issuer: orders.NewIssuer(orders.Deps{
+	k := lease.NewKeeper(c, lease.DefaultConfig(), orders.LeaseName("r", name), node, lease.NewMetrics(reg), clock)
+	return &contender{keeper: k, issuer: orders.NewIssuer(orders.IssuerConfig{
 		Node: node, Region: "r", Limits: orders.DefaultLimits(), Store: c, Client: c,
 		Metrics: orders.NewMetrics(reg), Log: log.New(io.Discard), Now: clock,
 	}, name, k)}
@@ -189,7 +189,7 @@
 	sent := func() int {
 		n := 0
 		for _, e := range p.engines {
-			n += len(e.Journal())
+			n += len(e.AppliedOrders())
 		}
 		return n
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -82,7 +82,7 @@
 }
 
 func provideOrders(cfg *config.Node, st store.Store, l *log.Logger, reg prometheus.Registerer) *orders.Service {
-	return orders.NewService(orders.Deps{
+	return orders.NewService(orders.IssuerConfig{
 		Node: cfg.NodeID, Region: cfg.Region, Limits: orders.DefaultLimits(),
 		Store: st, Client: orders.NewHTTPClient(), Metrics: orders.NewMetrics(reg), Log: l, Now: time.Now,
 	}, lease.ConfigFor(cfg.DutyTTL), lease.NewMetrics(reg))
--- a/orders/issuer.go
+++ b/orders/issuer.go
@@ -46,8 +46,8 @@
 	retried map[RetryReason]int // retries already counted in the metrics
 }
 
-// Deps holds the dependencies of an Issuer.
-type Deps struct {
+// IssuerConfig holds the dependencies of an Issuer.
+type IssuerConfig struct {
 	Node    string
 	Region  string
 	Limits  Limits
@@ -59,9 +59,9 @@
 }
 
 // NewIssuer returns the issuer of a pool.
-func NewIssuer(d Deps, pool string, h Holder) *Issuer {
+func NewIssuer(d IssuerConfig, pool string, h Holder) *Issuer {
 	return &Issuer{
-		name: d.Node, poolID: pool, key: Key(d.Region, pool), pool: NewPool(d.Limits),
+		name: d.Node, poolID: pool, key: RecordKey(d.Region, pool), pool: NewPool(d.Limits),
 		holder: h, store: d.Store, client: d.Client,
 		metrics: d.Metrics, log: d.Log.With("pool", pool), now: d.Now,
 		retried: make(map[RetryReason]int),
--- a/orders/orderstest/contract.go
+++ b/orders/orderstest/contract.go
@@ -82,7 +82,7 @@
 			s, err := h.Client.Read(context.Background(), h.Addr)
 			is.NoErr(err)
 			is.Equal(s, tt.state)
-			is.Equal(len(h.Engine.Journal()), tt.applied)
+			is.Equal(len(h.Engine.AppliedOrders()), tt.applied)
 		})
 	}
 	t.Run("guard returns an error", func(t *testing.T) {
@@ -90,7 +90,7 @@
 		h := start(t)
 		err := h.Client.Apply(context.Background(), h.Addr, order(3, v1), func() error { return errors.New("lapsed") })
 		is.True(errors.Is(err, orders.ErrNotSent))
-		is.Equal(len(h.Engine.Journal()), 0)
+		is.Equal(len(h.Engine.AppliedOrders()), 0)
 	})
 	t.Run("context ended", func(t *testing.T) {
 		is := is.New(t)
@@ -98,7 +98,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		is.True(errors.Is(h.Client.Apply(ctx, h.Addr, order(3, v1), allow), orders.ErrNotSent))
-		is.Equal(len(h.Engine.Journal()), 0)
+		is.Equal(len(h.Engine.AppliedOrders()), 0)
 	})
 	t.Run("no engine at the address", func(t *testing.T) {
 		is := is.New(t)
--- a/orders/orderstest/engine.go
+++ b/orders/orderstest/engine.go
@@ -31,8 +31,8 @@
 	Down bool `json:"down"`
 }
 
-// Entry is one order that the engine applied, with its time.
-type Entry struct {
+// AppliedOrder is one order that the engine applied, with its time.
+type AppliedOrder struct {
 	At    time.Time    `json:"at"`
 	Order orders.Order `json:"order"`
 }
@@ -46,7 +46,7 @@
 	state   orders.State
 	readyAt time.Time
 	seen    int
-	journal []Entry
+	applied []AppliedOrder
 }
 
 // NewEngine returns an engine with nothing loaded that uses the given clock.
@@ -77,7 +77,7 @@
 	if err := e.check(o); err != nil {
 		return false, err
 	}
-	e.journal = append(e.journal, Entry{At: e.now(), Order: o})
+	e.applied = append(e.applied, AppliedOrder{At: e.now(), Order: o})
 	e.seen++
 	e.state.Fence = o.Fence
 	e.begin(o.Desired)
@@ -137,11 +137,11 @@
 	return e.state
 }
 
-// Journal returns the orders applied so far, oldest first.
-func (e *Engine) Journal() []Entry {
+// AppliedOrders returns the orders applied so far, oldest first.
+func (e *Engine) AppliedOrders() []AppliedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.journal)
+	return slices.Clone(e.applied)
 }
 
 // Restart simulates a restart: the engine has a new incarnation, nothing loaded and
--- a/orders/record.go
+++ b/orders/record.go
@@ -9,20 +9,20 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// Prefix is the store key prefix of the issuers' records.
-const Prefix = "/knapweedgw/orders/"
+// RecordPrefix is the store key prefix of the issuers' records.
+const RecordPrefix = "/knapweedgw/orders/"
 
-// DutyPrefix is the prefix of the lease duties of the pools' issuers.
-const DutyPrefix = "orders/"
+// LeasePrefix is the prefix of the names of the leases that the pools' issuers hold.
+const LeasePrefix = "orders/"
 
 // maxErrors is the maximum number of engines' errors in a record.
 const maxErrors = 5
 
-// Key returns the store key of a pool's record.
-func Key(region, pool string) string { return Prefix + region + "/" + pool }
+// RecordKey returns the store key of a pool's record.
+func RecordKey(region, pool string) string { return RecordPrefix + region + "/" + pool }
 
-// Duty returns the name of the lease that the issuer of a pool holds.
-func Duty(region, pool string) string { return DutyPrefix + region + "/" + pool }
+// LeaseName returns the name of the lease that the issuer of a pool holds.
+func LeaseName(region, pool string) string { return LeasePrefix + region + "/" + pool }
 
 // EngineError is the last failure of one engine, with its number of failed orders.
 type EngineError struct {
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -30,8 +30,8 @@
 	keeperDone chan struct{}
 }
 
-func newRunner(d Deps, cfg lease.Config, m *lease.Metrics, src TargetSource, pool string) *runner {
-	keeper := lease.NewKeeper(d.Store, cfg, Duty(d.Region, pool), d.Node, m, d.Now)
+func newRunner(d IssuerConfig, cfg lease.Config, m *lease.Metrics, src TargetSource, pool string) *runner {
+	keeper := lease.NewKeeper(d.Store, cfg, LeaseName(d.Region, pool), d.Node, m, d.Now)
 	return &runner{
 		pool: pool, region: d.Region, targets: src,
 		keeper: keeper, issuer: NewIssuer(d, pool, keeper),
--- a/orders/service.go
+++ b/orders/service.go
@@ -35,9 +35,9 @@
 // Service runs an issuer for each pool of this node's region whose lease the node
 // contends for.
 type Service struct {
-	deps    Deps
-	lease   lease.Config
-	metrics *lease.Metrics
+	issuerCfg IssuerConfig
+	lease     lease.Config
+	metrics   *lease.Metrics
 
 	settings SettingsSource
 	targets  TargetSource
@@ -56,9 +56,9 @@
 }
 
 // NewService returns the service of a node.
-func NewService(d Deps, cfg lease.Config, m *lease.Metrics) *Service {
+func NewService(d IssuerConfig, cfg lease.Config, m *lease.Metrics) *Service {
 	return &Service{
-		deps: d, lease: cfg, metrics: m, done: make(chan struct{}),
+		issuerCfg: d, lease: cfg, metrics: m, done: make(chan struct{}),
 		runners: make(map[string]*runner), skipped: make(map[string]string),
 	}
 }
@@ -150,12 +150,12 @@
 // reconcilePool starts, updates or stops the runner of a pool.
 func (s *Service) reconcilePool(view *membership.View, pool string, spec Spec) {
 	r, running := s.runners[pool]
-	empty := len(engines(s.targets.Snapshot().Pool(pool), s.deps.Region)) == 0
+	empty := len(engines(s.targets.Snapshot().Pool(pool), s.issuerCfg.Region)) == 0
 	s.reportSkip(pool, skipNoEngines, empty)
-	wanted := !empty && contends(view, s.deps.Region, Duty(s.deps.Region, pool), s.deps.Node)
+	wanted := !empty && contends(view, s.issuerCfg.Region, LeaseName(s.issuerCfg.Region, pool), s.issuerCfg.Node)
 	switch {
 	case wanted && !running:
-		r = newRunner(s.deps, s.lease, s.metrics, s.targets, pool)
+		r = newRunner(s.issuerCfg, s.lease, s.metrics, s.targets, pool)
 		r.spec.Store(&spec)
 		s.runners[pool] = r
 		r.start()
@@ -180,8 +180,8 @@
 	switch {
 	case applies && !was:
 		s.skipped[key] = reason
-		s.deps.Metrics.skipped.WithLabelValues(reason).Inc()
-		s.deps.Log.Warn("pool has no orders or conflicting settings", "pool", pool, "reason", reason)
+		s.issuerCfg.Metrics.skipped.WithLabelValues(reason).Inc()
+		s.issuerCfg.Log.Warn("pool has no orders or conflicting settings", "pool", pool, "reason", reason)
 	case !applies:
 		delete(s.skipped, key)
 	}
--- a/orders/service_test.go
+++ b/orders/service_test.go
@@ -53,7 +53,7 @@
 	}}
 	n := 0
 	for _, node := range v.Nodes {
-		if contends(v, "r", Duty("r", "p"), node.ID) {
+		if contends(v, "r", LeaseName("r", "p"), node.ID) {
 			is.True(node.Region == "r" && node.State != membership.Leaving)
 			n++
 		}
--- a/orders/simulation_test.go
+++ b/orders/simulation_test.go
@@ -70,7 +70,7 @@
 	n := &node{Store: sim.store, sim: sim, spec: sim.spec}
 	clock := func() time.Time { return sim.now }
 	m := lease.NewMetrics(prometheus.NewRegistry())
-	n.keeper = lease.NewKeeper(n, lease.DefaultConfig(), orders.Duty("r", "p"), name, m, clock)
+	n.keeper = lease.NewKeeper(n, lease.DefaultConfig(), orders.LeaseName("r", "p"), name, m, clock)
 	n.issuer = sim.newIssuer(n, &orderstest.Client{
 		Engines:     engines,
 		BeforeGuard: func() { n.pause(30 * time.Second) },
@@ -80,7 +80,7 @@
 }
 
 func (sim *simulation) newIssuer(n *node, c orders.EngineClient) *orders.Issuer {
-	return orders.NewIssuer(orders.Deps{
+	return orders.NewIssuer(orders.IssuerConfig{
 		Node: "n", Region: "r", Limits: sim.limits, Store: n, Client: c,
 		Metrics: orders.NewMetrics(prometheus.NewRegistry()), Log: log.New(io.Discard),
 		Now: func() time.Time { return sim.now },
@@ -200,7 +200,7 @@
 	for _, e := range sim.engines {
 		var fence int64
 		version := ""
-		for _, entry := range e.Journal() {
+		for _, entry := range e.AppliedOrders() {
 			if entry.Order.Fence < fence {
 				fences++
 			}
