--- a/claims/core/load.go
+++ b/claims/core/load.go
@@ -8,7 +8,7 @@
 )
 
 // Loaded handles the result of a StepRead.
-func (s *Shard) Loaded(now Instant, page store.Page, err error) {
+func (s *Shard) Loaded(now Instant, page store.ListResult, err error) {
 	full := !s.loaded
 	s.Counts.Reads++
 	if full {
@@ -22,7 +22,7 @@
 	}
 }
 
-func (s *Shard) load(now Instant, page store.Page, full bool) error {
+func (s *Shard) load(now Instant, page store.ListResult, full bool) error {
 	head, revision, err := s.findHead(page)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (s *Shard) findHead(page store.Page) (Head, int64, error) {
+func (s *Shard) findHead(page store.ListResult) (Head, int64, error) {
 	i := slices.IndexFunc(page.KVs, func(kv store.KV) bool { return kv.Key == s.keys.head })
 	if i < 0 {
 		return Head{}, 0, nil
@@ -64,7 +64,7 @@
 
 // loadClosed applies the closed groups, oldest first. Group numbers in keys have a fixed
 // width, so the order of the page is that of the groups.
-func (s *Shard) loadClosed(page store.Page, head Head) error {
+func (s *Shard) loadClosed(page store.ListResult, head Head) error {
 	for _, kv := range page.KVs {
 		g, ok, err := parseNumber(kv.Key, s.keys.closed)
 		if err != nil {
@@ -81,7 +81,7 @@
 }
 
 // loadOpen applies the segments of the open group that the table lacks.
-func (s *Shard) loadOpen(page store.Page, head Head) error {
+func (s *Shard) loadOpen(page store.ListResult, head Head) error {
 	for _, kv := range page.KVs {
 		if !strings.HasPrefix(kv.Key, s.keys.segments) {
 			continue
--- a/claims/core/shard_test.go
+++ b/claims/core/shard_test.go
@@ -78,7 +78,7 @@
 	}
 	page, err := r.net.store.List(context.Background(), step.Prefix)
 	if f != noFault {
-		page, err = store.Page{}, store.ErrUnavailable
+		page, err = store.ListResult{}, store.ErrUnavailable
 	}
 	r.Loaded(now, page, err)
 }
--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -237,11 +237,11 @@
 	f(s)
 }
 
-func (s *faultyStore) List(ctx context.Context, prefix string) (store.Page, error) {
+func (s *faultyStore) List(ctx context.Context, prefix string) (store.ListResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse {
-		return store.Page{}, store.ErrUnavailable
+		return store.ListResult{}, store.ErrUnavailable
 	}
 	return s.Store.List(ctx, prefix)
 }
--- a/lab/measure/claims/cost.go
+++ b/lab/measure/claims/cost.go
@@ -86,14 +86,14 @@
 
 // The store is in region 0.
 
-func (b *bench) list(region int, prefix string, done func(store.Page, error)) {
+func (b *bench) list(region int, prefix string, done func(store.ListResult, error)) {
 	if b.measured() {
 		b.cost.reads++
 	}
 	b.after(b.oneWay(region, 0), func() {
 		page, err := b.store.List(context.Background(), prefix)
 		if b.out() {
-			page, err = store.Page{}, store.ErrUnavailable
+			page, err = store.ListResult{}, store.ErrUnavailable
 		}
 		b.after(b.oneWay(0, region), func() { done(page, err) })
 	})
@@ -260,7 +260,9 @@
 func (o benchIO) time() core.Instant             { return o.b.now }
 func (o benchIO) wake(d time.Duration, f func()) { o.b.after(d, f) }
 
-func (o benchIO) list(prefix string, done func(store.Page, error)) { o.b.list(o.region, prefix, done) }
+func (o benchIO) list(prefix string, done func(store.ListResult, error)) {
+	o.b.list(o.region, prefix, done)
+}
 
 func (o benchIO) commit(t store.Txn, done func(int64, bool, error)) { o.b.commit(o.region, t, done) }
 
--- a/lab/measure/claims/node.go
+++ b/lab/measure/claims/node.go
@@ -41,7 +41,7 @@
 	o.quietly(func() { o.node.w.on(o.node, d, f) })
 }
 
-func (o ownerIO) list(prefix string, done func(store.Page, error)) {
+func (o ownerIO) list(prefix string, done func(store.ListResult, error)) {
 	o.quietly(func() { o.node.w.platform.list(o.node, prefix, done) })
 }
 
--- a/lab/measure/claims/stepper.go
+++ b/lab/measure/claims/stepper.go
@@ -11,7 +11,7 @@
 type surroundings interface {
 	time() core.Instant
 	wake(d time.Duration, f func())
-	list(prefix string, done func(store.Page, error))
+	list(prefix string, done func(store.ListResult, error))
 	commit(t store.Txn, done func(int64, bool, error))
 }
 
@@ -61,7 +61,7 @@
 		s.sleep(step.Until)
 	case core.StepRead:
 		s.busy = true
-		s.in.list(step.Prefix, func(page store.Page, err error) {
+		s.in.list(step.Prefix, func(page store.ListResult, err error) {
 			s.busy = false
 			s.shard.Loaded(s.in.time(), page, err)
 			s.pump()
--- a/lab/measure/claims/store.go
+++ b/lab/measure/claims/store.go
@@ -71,12 +71,12 @@
 	})
 }
 
-func (p *platform) list(n *node, prefix string, done func(store.Page, error)) {
+func (p *platform) list(n *node, prefix string, done func(store.ListResult, error)) {
 	p.reads++
 	p.call(n, func() func() {
 		page, err := p.store.List(context.Background(), prefix)
 		return func() { done(page, err) }
-	}, func(err error) { done(store.Page{}, err) })
+	}, func(err error) { done(store.ListResult{}, err) })
 }
 
 func (p *platform) commit(n *node, t store.Txn, done func(int64, bool, error)) {
--- a/lab/platform/faulty.go
+++ b/lab/platform/faulty.go
@@ -164,9 +164,9 @@
 }
 
 // List implements store.Store.
-func (f *faultyStore) List(ctx context.Context, prefix string) (store.Page, error) {
+func (f *faultyStore) List(ctx context.Context, prefix string) (store.ListResult, error) {
 	if _, err := f.enter(ctx, kindRead); err != nil {
-		return store.Page{}, err
+		return store.ListResult{}, err
 	}
 	return f.Store.List(ctx, prefix)
 }
--- a/lab/platform/watch.go
+++ b/lab/platform/watch.go
@@ -9,7 +9,7 @@
 )
 
 // Watch implements store.Store. An outage ends the watch.
-func (f *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
+func (f *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	if _, err := f.enter(ctx, kindWatch); err != nil {
 		return nil, err
 	}
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	f.add(func(c *Calls) { c.WaitingWatches++ })
-	out := make(chan store.Batch)
+	out := make(chan store.WatchBatch)
 	go func() {
 		defer close(out)
 		defer f.add(func(c *Calls) { c.WaitingWatches-- })
@@ -37,10 +37,10 @@
 
 // forward passes the batches on until they end; a watch that was cut ends
 // with ErrUnavailable.
-func (f *faultyStore) forward(ctx context.Context, batches <-chan store.Batch, out chan<- store.Batch) {
+func (f *faultyStore) forward(ctx context.Context, batches <-chan store.WatchBatch, out chan<- store.WatchBatch) {
 	for b := range batches {
 		if err := f.pass(ctx); err != nil {
-			b = store.Batch{Err: err}
+			b = store.WatchBatch{Err: err}
 		}
 		f.add(func(c *Calls) { c.Batches++ })
 		select {
@@ -53,7 +53,7 @@
 		}
 	}
 	select {
-	case out <- store.Batch{Err: errors.Wrap(store.ErrUnavailable, "watch cut")}:
+	case out <- store.WatchBatch{Err: errors.Wrap(store.ErrUnavailable, "watch cut")}:
 	case <-ctx.Done():
 	}
 }
--- a/replica/audit_test.go
+++ b/replica/audit_test.go
@@ -24,16 +24,16 @@
 
 func (s *fakeSource) Revision(context.Context) (int64, error) { return s.revision, nil }
 
-func (s *fakeSource) List(ctx context.Context, _ string, _ func(context.Context, int64) error) (store.Page, error) {
+func (s *fakeSource) List(ctx context.Context, _ string, _ func(context.Context, int64) error) (store.ListResult, error) {
 	s.lists++
 	if end, ok := ctx.Deadline(); ok {
 		s.listTimeout = time.Until(end)
 	}
-	return store.Page{Revision: s.revision}, nil
+	return store.ListResult{Revision: s.revision}, nil
 }
 
-func (s *fakeSource) Watch(context.Context, string, int64) (<-chan store.Batch, error) {
-	return make(chan store.Batch), nil
+func (s *fakeSource) Watch(context.Context, string, int64) (<-chan store.WatchBatch, error) {
+	return make(chan store.WatchBatch), nil
 }
 
 func (s *fakeSource) Put(context.Context, string, []byte) error { return nil }
@@ -60,7 +60,7 @@
 func fakeReplica(s *fakeSource) (*Replica, *stubPeers, *clock) {
 	p, c := &stubPeers{}, &clock{now: start}
 	r := newTestReplica(s, p, c)
-	r.applyBatch(store.Batch{Revision: s.revision})
+	r.applyBatch(store.WatchBatch{Revision: s.revision})
 	return r, p, c
 }
 
@@ -91,7 +91,7 @@
 	is.True(!r.consumeStale())
 	is.True(!runAuditIfDue(r)) // not again at once
 
-	r.applyBatch(store.Batch{Revision: 8})
+	r.applyBatch(store.WatchBatch{Revision: 8})
 	c.advance(recheckDelay)
 	is.True(!runAuditIfDue(r)) // the change has arrived
 	is.Equal(r.confirmed, start.Add(3*time.Second))
@@ -119,9 +119,9 @@
 	is, s := is.New(t), &fakeSource{revision: 7}
 	r, _, _ := fakeReplica(s)
 	<-r.announce
-	r.applyBatch(store.Batch{Revision: 7})
+	r.applyBatch(store.WatchBatch{Revision: 7})
 	is.Equal(len(r.announce), 0)
-	r.applyBatch(store.Batch{Revision: 8})
+	r.applyBatch(store.WatchBatch{Revision: 8})
 	is.Equal(len(r.announce), 1)
 }
 
@@ -225,7 +225,7 @@
 			audits++
 		}
 		is.True(!r.consumeStale())
-		r.applyBatch(store.Batch{Revision: revision})
+		r.applyBatch(store.WatchBatch{Revision: revision})
 		c.advance(checkInterval)
 	}
 	is.True(audits <= 2+int(22*checkInterval/catchUpDelay))
--- a/replica/lines_test.go
+++ b/replica/lines_test.go
@@ -28,7 +28,7 @@
 			revision++
 			events[i].KV.ModRevision = revision
 		}
-		r.applyBatch(store.Batch{Events: events, Revision: revision})
+		r.applyBatch(store.WatchBatch{Events: events, Revision: revision})
 		return bytes.Count(out.Bytes(), []byte("\n"))
 	}
 	event := func(name, addr string) store.Event {
--- a/replica/note.go
+++ b/replica/note.go
@@ -20,7 +20,7 @@
 func (r *Replica) OnNote(f func(note []byte)) { r.onNote = append(r.onNote, f) }
 
 // deliverNote passes the note of the first list to the callbacks. Callers must hold r.mu.
-func (r *Replica) deliverNote(p store.Page) {
+func (r *Replica) deliverNote(p store.ListResult) {
 	if r.noteDelivered {
 		return
 	}
--- a/replica/pace_test.go
+++ b/replica/pace_test.go
@@ -90,7 +90,7 @@
 	is.True(r.confirmed.IsZero()) // a part carries no confirmation
 	apply(got)
 	is.Equal(r.confirmed, c.now.Add(-300*time.Millisecond))
-	r.applyBatch(store.Batch{Revision: 8})
+	r.applyBatch(store.WatchBatch{Revision: 8})
 	confirmed := r.confirmed
 	c.advance(time.Second)
 	apply(got)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -33,8 +33,8 @@
 	// List reads all keys under prefix. Before each page but the first it calls next with the
 	// revision of the first page; an error from next ends the list, and what was read so far is
 	// returned with that error.
-	List(ctx context.Context, prefix string, next func(ctx context.Context, revision int64) error) (store.Page, error)
-	Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error)
+	List(ctx context.Context, prefix string, next func(ctx context.Context, revision int64) error) (store.ListResult, error)
+	Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error)
 	// Put writes a key unconditionally.
 	Put(ctx context.Context, key string, value []byte) error
 }
@@ -197,7 +197,7 @@
 }
 
 // applyList replaces the copy by a complete list of the store.
-func (r *Replica) applyList(p store.Page) {
+func (r *Replica) applyList(p store.ListResult) {
 	entries := make([]Entry, 0, len(p.KVs))
 	for _, kv := range p.KVs {
 		entries = append(entries, entryOf(kv))
@@ -212,7 +212,7 @@
 }
 
 // applyBatch applies a batch of events from a watch.
-func (r *Replica) applyBatch(b store.Batch) {
+func (r *Replica) applyBatch(b store.WatchBatch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all changes
--- a/replica/turns_test.go
+++ b/replica/turns_test.go
@@ -38,8 +38,8 @@
 	pages  int
 }
 
-func (s *pagedSource) List(ctx context.Context, _ string, next func(context.Context, int64) error) (store.Page, error) {
-	first := store.Page{Revision: s.revision, KVs: []store.KV{{Key: "note", Value: []byte("n")}}}
+func (s *pagedSource) List(ctx context.Context, _ string, next func(context.Context, int64) error) (store.ListResult, error) {
+	first := store.ListResult{Revision: s.revision, KVs: []store.KV{{Key: "note", Value: []byte("n")}}}
 	s.pages++
 	s.before()
 	if err := next(ctx, s.revision); err != nil {
--- a/replica/unusable_test.go
+++ b/replica/unusable_test.go
@@ -156,7 +156,7 @@
 	r := New(&fakeSource{}, tooLongSchema{}, p, p, log.New(&logs), reg)
 	r.now = func() time.Time { return c.now }
 	const keys = 300
-	page := store.Page{Revision: keys}
+	page := store.ListResult{Revision: keys}
 	for i := range keys {
 		page.KVs = append(page.KVs, store.KV{Key: fmt.Sprint("t/", i), ModRevision: int64(i + 1)})
 	}
@@ -169,7 +169,7 @@
 	is.Equal(lines(), logLimit)
 	is.Equal(count(), float64(keys))
 	c.advance(logWindow)
-	r.applyBatch(store.Batch{Revision: keys + 1, Events: []store.Event{
+	r.applyBatch(store.WatchBatch{Revision: keys + 1, Events: []store.Event{
 		{KV: store.KV{Key: "t/0", ModRevision: keys + 1}},
 	}})
 	is.Equal(lines(), logLimit+1)
--- a/settings/accepted/record.go
+++ b/settings/accepted/record.go
@@ -90,7 +90,7 @@
 
 // FromPage converts a list of Prefix to a delta that is complete through the
 // head. It also returns the store's revision of the head, 0 if there is none.
-func FromPage(p store.Page) (d Delta, headModRevision int64, err error) {
+func FromPage(p store.ListResult) (d Delta, headModRevision int64, err error) {
 	for _, kv := range p.KVs {
 		switch {
 		case kv.Key == HeadKey:
--- a/settings/follower/fake_test.go
+++ b/settings/follower/fake_test.go
@@ -164,10 +164,10 @@
 	store.Store
 	mu          sync.Mutex
 	outage      bool
-	pageIndex   int             // index of the page to answer with
-	pages       []store.Page    // the accepted settings after each commit
-	heads       []accepted.Head // the head after each commit
-	operatorKVs []store.KV      // the keys that operators write
+	pageIndex   int                // index of the page to answer with
+	pages       []store.ListResult // the accepted settings after each commit
+	heads       []accepted.Head    // the head after each commit
+	operatorKVs []store.KV         // the keys that operators write
 }
 
 // savePage saves the accepted settings after a commit and answers with them.
@@ -179,11 +179,11 @@
 	s.pageIndex = len(s.pages) - 1
 }
 
-func (s *faultyStore) page() store.Page {
+func (s *faultyStore) page() store.ListResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.pages) == 0 {
-		return store.Page{}
+		return store.ListResult{}
 	}
 	return s.pages[s.pageIndex]
 }
@@ -212,19 +212,19 @@
 	return kvs[i], true, nil
 }
 
-func (s *faultyStore) List(_ context.Context, prefix string) (store.Page, error) {
+func (s *faultyStore) List(_ context.Context, prefix string) (store.ListResult, error) {
 	if s.isDown() {
-		return store.Page{}, store.ErrUnavailable
+		return store.ListResult{}, store.ErrUnavailable
 	}
 	page := s.page()
 	if prefix == settings.Prefix {
-		return store.Page{KVs: s.operatorKVs}, nil
+		return store.ListResult{KVs: s.operatorKVs}, nil
 	}
 	page.KVs = slices.DeleteFunc(slices.Clone(page.KVs), func(kv store.KV) bool { return !strings.HasPrefix(kv.Key, prefix) })
 	return page, nil
 }
 
-func (s *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
+func (s *faultyStore) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	if s.isDown() {
 		return nil, store.ErrUnavailable
 	}
--- a/settings/follower/follower_test.go
+++ b/settings/follower/follower_test.go
@@ -167,7 +167,7 @@
 				events := f.store.events(rapid.IntRange(0, len(f.store.pages)-1).Draw(t, "at"))
 				from := rapid.IntRange(0, len(events)-1).Draw(t, "lost")
 				answer(t)
-				_ = f.nodes[node(t)].onBatch(ctx, store.Batch{Events: events[from:]})
+				_ = f.nodes[node(t)].onBatch(ctx, store.WatchBatch{Events: events[from:]})
 			},
 			"pull": pull,
 			"hint": func(t *rapid.T) { f.drainHints(node(t)) },
--- a/settings/follower/relay.go
+++ b/settings/follower/relay.go
@@ -101,7 +101,7 @@
 
 // onBatch applies a batch of the watch, and catches up if changes before it are
 // missing.
-func (f *Follower) onBatch(ctx context.Context, b store.Batch) error {
+func (f *Follower) onBatch(ctx context.Context, b store.WatchBatch) error {
 	if b.Err != nil {
 		return b.Err
 	}
--- a/store/etcd/bench_test.go
+++ b/store/etcd/bench_test.go
@@ -50,13 +50,13 @@
 	ctx := context.Background()
 	for _, size := range []int{100, 1000, 10_000, 100_000} {
 		put := store.Txn{Ops: []store.Op{{Key: "/knapweedgw/bench/key", Value: make([]byte, size)}}}
-		calls := map[string]func(*etcd.Client, <-chan store.Batch){
-			"commit":       func(c *etcd.Client, _ <-chan store.Batch) { _, _, _ = c.Commit(ctx, put) },
-			"get":          func(c *etcd.Client, _ <-chan store.Batch) { _, _, _ = c.Get(ctx, "/knapweedgw/bench/key") },
-			"commit+watch": func(c *etcd.Client, w <-chan store.Batch) { _, _, _ = c.Commit(ctx, put); <-w },
+		calls := map[string]func(*etcd.Client, <-chan store.WatchBatch){
+			"commit":       func(c *etcd.Client, _ <-chan store.WatchBatch) { _, _, _ = c.Commit(ctx, put) },
+			"get":          func(c *etcd.Client, _ <-chan store.WatchBatch) { _, _, _ = c.Get(ctx, "/knapweedgw/bench/key") },
+			"commit+watch": func(c *etcd.Client, w <-chan store.WatchBatch) { _, _, _ = c.Commit(ctx, put); <-w },
 		}
 		if size == 100 {
-			calls["renew"] = func(c *etcd.Client, _ <-chan store.Batch) { _ = c.Renew(ctx, 1) }
+			calls["renew"] = func(c *etcd.Client, _ <-chan store.WatchBatch) { _ = c.Renew(ctx, 1) }
 		}
 		for name, call := range calls {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) { benchmarkCall(b, put, name, call) })
@@ -64,7 +64,7 @@
 	}
 }
 
-func benchmarkCall(b *testing.B, put store.Txn, name string, call func(*etcd.Client, <-chan store.Batch)) {
+func benchmarkCall(b *testing.B, put store.Txn, name string, call func(*etcd.Client, <-chan store.WatchBatch)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var in, out atomic.Int64
 	ws := new(restful.WebService)
@@ -79,7 +79,7 @@
 	c := etcd.New([]string{srv.URL}, time.Minute)
 	_, _ = s.Grant(ctx, time.Hour)
 	_, _, _ = c.Commit(ctx, put)
-	var watch <-chan store.Batch
+	var watch <-chan store.WatchBatch
 	if name == "commit+watch" {
 		watch, _ = c.Watch(ctx, "", 0)
 	}
--- a/store/etcd/etcd.go
+++ b/store/etcd/etcd.go
@@ -61,16 +61,16 @@
 }
 
 // List implements store.Store.
-func (c *Client) List(ctx context.Context, prefix string) (store.Page, error) {
+func (c *Client) List(ctx context.Context, prefix string) (store.ListResult, error) {
 	return c.list(ctx, rangeRequest{Key: rangeKey(prefix), RangeEnd: prefixEnd(prefix)})
 }
 
-func (c *Client) list(ctx context.Context, req rangeRequest) (store.Page, error) {
+func (c *Client) list(ctx context.Context, req rangeRequest) (store.ListResult, error) {
 	var resp rangeResponse
 	if err := c.call(ctx, "/v3/kv/range", req, &resp); err != nil {
-		return store.Page{}, readError(err)
+		return store.ListResult{}, readError(err)
 	}
-	page := store.Page{Revision: int64(resp.Header.Revision)}
+	page := store.ListResult{Revision: int64(resp.Header.Revision)}
 	for _, kv := range resp.KVs {
 		page.KVs = append(page.KVs, kvFromWire(kv))
 	}
--- a/store/etcd/server.go
+++ b/store/etcd/server.go
@@ -45,7 +45,7 @@
 		return
 	}
 	prefix, isPrefix := prefixOf(req.Key, req.RangeEnd)
-	var page store.Page
+	var page store.ListResult
 	var err error
 	switch {
 	case req.RangeEnd == nil:
@@ -65,8 +65,8 @@
 
 // readKey reads one key. It reads the store's revision first, so that any change after
 // the read has a greater revision.
-func (s *Server) readKey(r *restful.Request, key string) (store.Page, error) {
-	var page store.Page
+func (s *Server) readKey(r *restful.Request, key string) (store.ListResult, error) {
+	var page store.ListResult
 	if rs, ok := s.store.(revisioner); ok {
 		page.Revision = rs.Revision()
 	}
--- a/store/etcd/watch.go
+++ b/store/etcd/watch.go
@@ -14,7 +14,7 @@
 
 // Watch implements store.Store. It returns once the service has confirmed the watch,
 // or with an error if that takes longer than the client's timeout.
-func (c *Client) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	req := watchRequest{CreateRequest: watchCreateRequest{
 		Key: rangeKey(prefix), RangeEnd: prefixEnd(prefix), StartRevision: int64String(from),
 	}}
@@ -30,7 +30,7 @@
 		cancel()
 		return nil, errors.Wrap(store.ErrUnavailable, "watch: not confirmed in time")
 	}
-	out := make(chan store.Batch)
+	out := make(chan store.WatchBatch)
 	go func() {
 		defer cancel()
 		w.run(ctx, out)
@@ -64,7 +64,7 @@
 
 func (w *watchStream) close() { _ = w.body.Close() }
 
-func (w *watchStream) run(ctx context.Context, out chan<- store.Batch) {
+func (w *watchStream) run(ctx context.Context, out chan<- store.WatchBatch) {
 	defer close(out)
 	defer w.close()
 	for {
@@ -83,10 +83,10 @@
 	}
 }
 
-func (w *watchStream) next() store.Batch {
+func (w *watchStream) next() store.WatchBatch {
 	var resp watchResponse
 	if err := w.dec.Decode(&resp); err != nil {
-		return store.Batch{Err: errors.Wrapf(store.ErrUnavailable, "watch ended: %v", err)}
+		return store.WatchBatch{Err: errors.Wrapf(store.ErrUnavailable, "watch ended: %v", err)}
 	}
 	return batchFromWire(resp)
 }
@@ -94,17 +94,17 @@
 // batchFromWire converts one response. The revision in the header is the store's and
 // may be ahead of events that follow in later responses, so the batch gets the
 // revision of its last event.
-func batchFromWire(resp watchResponse) store.Batch {
+func batchFromWire(resp watchResponse) store.WatchBatch {
 	r := resp.Result
 	switch {
 	case resp.Error != nil:
-		return store.Batch{Err: errors.Wrapf(store.ErrUnavailable, "watch: %s", resp.Error.Message)}
+		return store.WatchBatch{Err: errors.Wrapf(store.ErrUnavailable, "watch: %s", resp.Error.Message)}
 	case r.Canceled && r.CompactRevision > 0:
-		return store.Batch{Err: store.ErrCompacted, Revision: int64(r.CompactRevision)}
+		return store.WatchBatch{Err: store.ErrCompacted, Revision: int64(r.CompactRevision)}
 	case r.Canceled:
-		return store.Batch{Err: errors.Wrapf(store.ErrUnavailable, "watch canceled: %s", r.CancelReason)}
+		return store.WatchBatch{Err: errors.Wrapf(store.ErrUnavailable, "watch canceled: %s", r.CancelReason)}
 	}
-	var b store.Batch
+	var b store.WatchBatch
 	for _, e := range r.Events {
 		b.Events = append(b.Events, store.Event{KV: kvFromWire(e.KV), Deleted: e.Type == eventDelete})
 		b.Revision = int64(e.KV.ModRevision)
@@ -113,7 +113,7 @@
 }
 
 // batchToWire is the reverse of batchFromWire.
-func batchToWire(b store.Batch) watchResponse {
+func batchToWire(b store.WatchBatch) watchResponse {
 	r := watchResult{Header: header{int64String(b.Revision)}}
 	switch {
 	case errors.Is(b.Err, store.ErrCompacted):
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -59,11 +59,11 @@
 }
 
 // List implements store.Store.
-func (s *Store) List(_ context.Context, prefix string) (store.Page, error) {
+func (s *Store) List(_ context.Context, prefix string) (store.ListResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	page := store.Page{Revision: s.revision}
+	page := store.ListResult{Revision: s.revision}
 	for _, key := range s.keys(prefix) {
 		page.KVs = append(page.KVs, s.kvs[key])
 	}
--- a/store/memory/watch.go
+++ b/store/memory/watch.go
@@ -9,11 +9,11 @@
 // Watch implements store.Store. A watch has no event buffer: it reads from the
 // history, so that a slow receiver delays neither writes nor other watches. It ends
 // with store.ErrCompacted once the history no longer holds its next revision.
-func (s *Store) Watch(ctx context.Context, prefix string, from int64) (<-chan store.Batch, error) {
+func (s *Store) Watch(ctx context.Context, prefix string, from int64) (<-chan store.WatchBatch, error) {
 	if from == 0 {
 		from = s.Revision() + 1
 	}
-	out := make(chan store.Batch)
+	out := make(chan store.WatchBatch)
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 
 // sendBatches sends the events from revision next on until ctx ends or a batch has an
 // error.
-func (s *Store) sendBatches(ctx context.Context, prefix string, next int64, out chan<- store.Batch) {
+func (s *Store) sendBatches(ctx context.Context, prefix string, next int64, out chan<- store.WatchBatch) {
 	for {
 		b := s.waitForEvents(ctx, prefix, next)
 		if ctx.Err() != nil {
@@ -49,18 +49,18 @@
 
 // waitForEvents blocks until there is an event under prefix at revision next or later,
 // next is no longer in the history, or ctx ends.
-func (s *Store) waitForEvents(ctx context.Context, prefix string, next int64) store.Batch {
+func (s *Store) waitForEvents(ctx context.Context, prefix string, next int64) store.WatchBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for ctx.Err() == nil {
 		if next <= s.history.compacted {
-			return store.Batch{Err: store.ErrCompacted, Revision: s.history.compacted + 1}
+			return store.WatchBatch{Err: store.ErrCompacted, Revision: s.history.compacted + 1}
 		}
 		if events := s.history.since(next, prefix); len(events) > 0 {
-			return store.Batch{Events: events, Revision: s.revision}
+			return store.WatchBatch{Events: events, Revision: s.revision}
 		}
 		next = max(next, s.revision+1)
 		s.changed.Wait()
 	}
-	return store.Batch{}
+	return store.WatchBatch{}
 }
--- a/store/store.go
+++ b/store/store.go
@@ -77,9 +77,9 @@
 	Ops      []Op
 }
 
-// Page is the complete result of a List: the keys in order, and the store's revision
+// ListResult is the complete result of a List: the keys in order, and the store's revision
 // at which they were read.
-type Page struct {
+type ListResult struct {
 	KVs      []KV
 	Revision int64
 }
@@ -91,11 +91,11 @@
 	Deleted bool
 }
 
-// Batch holds the events of one or more revisions, in order; without an Err, it has
+// WatchBatch holds the events of one or more revisions, in order; without an Err, it has
 // at least one event. All events up to Revision are delivered, so that a new watch
 // may start at Revision+1. Err ends the watch; with ErrCompacted, Revision is the
 // oldest revision from which a watch may start.
-type Batch struct {
+type WatchBatch struct {
 	Events   []Event
 	Revision int64
 	Err      error
@@ -107,7 +107,7 @@
 	Get(ctx context.Context, key string) (kv KV, ok bool, err error)
 	// List returns the keys that start with prefix. A watch from the page's
 	// Revision+1 delivers every later change once.
-	List(ctx context.Context, prefix string) (Page, error)
+	List(ctx context.Context, prefix string) (ListResult, error)
 	// Commit runs a transaction. It returns the store's revision and whether
 	// the compares held. On ErrUncertain the write may have taken effect; any
 	// other error means that it had no effect.
@@ -119,7 +119,7 @@
 	// Revoke deletes a lease and its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 	// Watch sends the changes under prefix, starting with revision from, until ctx
-	// ends or a Batch has an Err; then it closes the channel. If from is 0, it sends
+	// ends or a WatchBatch has an Err; then it closes the channel. If from is 0, it sends
 	// the changes made after Watch has returned.
-	Watch(ctx context.Context, prefix string, from int64) (<-chan Batch, error)
+	Watch(ctx context.Context, prefix string, from int64) (<-chan WatchBatch, error)
 }
--- a/store/storetest/storetest.go
+++ b/store/storetest/storetest.go
@@ -102,7 +102,7 @@
 	return ok
 }
 
-func (h *harness) list(prefix string) store.Page {
+func (h *harness) list(prefix string) store.ListResult {
 	h.Helper()
 	page, err := h.Store.List(h.ctx, prefix)
 	h.NoErr(err)
@@ -117,7 +117,7 @@
 	return id
 }
 
-func (h *harness) watch(ctx context.Context, prefix string, from int64) <-chan store.Batch {
+func (h *harness) watch(ctx context.Context, prefix string, from int64) <-chan store.WatchBatch {
 	h.Helper()
 	ch, err := h.Store.Watch(ctx, prefix, from)
 	h.NoErr(err)
@@ -125,7 +125,7 @@
 }
 
 // events receives at least n events and checks the revisions of their batches.
-func (h *harness) events(ch <-chan store.Batch, n int) []store.Event {
+func (h *harness) events(ch <-chan store.WatchBatch, n int) []store.Event {
 	h.Helper()
 	var events []store.Event
 	for len(events) < n {
--- a/store/storetest/watches.go
+++ b/store/storetest/watches.go
@@ -70,7 +70,7 @@
 func testManyWatches(_ *testing.T, h *harness) {
 	const watches, writes = 40, 25
 	first := h.list("").Revision + 1
-	var chans []<-chan store.Batch
+	var chans []<-chan store.WatchBatch
 	for range watches {
 		chans = append(chans, h.watch(h.ctx, "k", first))
 	}
