--- a/admission/admission.go
+++ b/admission/admission.go
@@ -21,7 +21,7 @@
 	Chat      uint64 // routing key: requests of one chat share it
 	Workspace settings.WorkspaceRef
 	Priority  int // urgency as in RFC 9218: 0 highest to 7 lowest
-	Pool      settings.PoolRef
+	Pool      settings.ResolvedPool
 	Exclude   []string // IDs of targets already tried
 	// Returning is set if the chat has had an answer before.
 	Returning bool
--- a/admission/local_test.go
+++ b/admission/local_test.go
@@ -69,7 +69,7 @@
 			for id, n := range tt.loads {
 				l.Observe(id, n, time.Now())
 			}
-			ref := settings.PoolRef{Pool: testPool, LoadFactor: 1, MaxInFlight: 8}
+			ref := settings.ResolvedPool{Pool: testPool, LoadFactor: 1, MaxInFlight: 8}
 			g, err := l.Acquire(context.Background(), Request{Pool: ref})
 			is.Equal(g.Target.ID, tt.want)
 			if tt.reason != "" {
--- a/admission/plan.go
+++ b/admission/plan.go
@@ -82,7 +82,7 @@
 	if s == nil {
 		return pools
 	}
-	merge := func(ref settings.PoolRef, ok bool) {
+	merge := func(ref settings.ResolvedPool, ok bool) {
 		if ok {
 			pools[ref.Pool] = strictest(pools[ref.Pool], configOf(ref))
 		}
@@ -98,7 +98,7 @@
 	return pools
 }
 
-func configOf(ref settings.PoolRef) poolConfig {
+func configOf(ref settings.ResolvedPool) poolConfig {
 	return poolConfig{
 		cell:  cell.Config{LoadFactor: ref.LoadFactor, MaxInFlight: ref.MaxInFlight},
 		cells: max(ref.Cells, 1),
--- a/cmd/knapweedgw/settings_read.go
+++ b/cmd/knapweedgw/settings_read.go
@@ -57,7 +57,7 @@
 		return accepted.Record{}, err
 	}
 	if t.Pending() {
-		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s is not decided yet\n", t.Change, formatAuthor(t.Note.Author))
+		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s is not decided yet\n", t.Change, formatAuthor(t.ChangeInfo.Author))
 	}
 	if t.Change != 0 && t.Status.Change == t.Change && t.Status.Refused() {
 		fmt.Fprintf(cmd.ErrOrStderr(), "change %d by %s was refused; see settings status\n", t.Change, formatAuthor(t.Status.Author))
@@ -166,10 +166,10 @@
 	return fmt.Sprintf("revision %d", r.Revision)
 }
 
-func changeState(t operator.Team) (state, by string, at time.Time) {
+func changeState(t operator.TeamState) (state, by string, at time.Time) {
 	switch {
 	case t.Pending():
-		return "undecided", t.Note.Author, t.Note.At
+		return "undecided", t.ChangeInfo.Author, t.ChangeInfo.At
 	case t.Change != 0 && t.Status.Change == t.Change && t.Status.Refused():
 		return "refused", t.Status.Author, t.Status.At
 	case t.Record.Deleted:
--- a/lab/measure/fanout/exchange.go
+++ b/lab/measure/fanout/exchange.go
@@ -40,7 +40,7 @@
 		if !s.fleet.isRelay(n) {
 			return nil, nil
 		}
-		return duty.Announcees(s.fleet.view(n))
+		return duty.AnnouncementPeers(s.fleet.view(n))
 	}
 	return e
 }
@@ -94,7 +94,7 @@
 		then()
 		return
 	}
-	e.pull(n, hint{from: m, tries: follower.HintTries}, then)
+	e.pull(n, hint{from: m, tries: follower.MaxHintAttempts}, then)
 }
 
 // bootstrap asks the seeds for their heads and pulls from the highest.
@@ -129,7 +129,7 @@
 			done()
 			return
 		}
-		e.pull(n, hint{from: best, tries: follower.HintTries}, done)
+		e.pull(n, hint{from: best, tries: follower.MaxHintAttempts}, done)
 	})
 }
 
@@ -159,7 +159,7 @@
 		e.announceTo(n, m, h, 1)
 	}
 	for _, m := range later {
-		e.s.clock.after(follower.LaterDelay, func() {
+		e.s.clock.after(follower.OtherPartDelay, func() {
 			if n.alive {
 				e.announceTo(n, m, h, 1)
 			}
@@ -177,7 +177,7 @@
 		}
 		return e.s.headBytes(theirs), func() { e.confirm(n, o, theirs) }
 	}, func() {
-		if try < follower.HintTries && n.state.Head() == h {
+		if try < follower.MaxHintAttempts && n.state.Head() == h {
 			e.announceTo(n, m, h, try+1)
 		}
 	})
@@ -217,7 +217,7 @@
 		if since > o.state.Head() {
 			e.hint(o, hint{from: n.member, head: since})
 		}
-		d := o.state.Since(since)
+		d := o.state.DeltaSince(since)
 		return e.s.deltaBytes(d), func() {
 			e.confirm(n, o, d.Through)
 			n.state.Apply(d)
@@ -232,7 +232,7 @@
 			}
 		}
 	}, func() {
-		if h.tries++; done != nil && h.tries < follower.HintTries {
+		if h.tries++; done != nil && h.tries < follower.MaxHintAttempts {
 			n.hints = append(n.hints, h)
 		}
 		if done != nil {
--- a/lab/measure/fanout/simulation.go
+++ b/lab/measure/fanout/simulation.go
@@ -139,7 +139,7 @@
 	s.pending = append(s.pending, team)
 	if !s.grouping {
 		s.grouping = true
-		s.clock.after(acceptor.GroupDelay, s.accept)
+		s.clock.after(acceptor.BatchDelay, s.accept)
 	}
 }
 
@@ -163,7 +163,7 @@
 		s.clock.after(time.Second, s.accept)
 		return
 	}
-	group := s.pending[:min(len(s.pending), acceptor.MaxGroup)]
+	group := s.pending[:min(len(s.pending), acceptor.MaxBatchTeams)]
 	d := accepted.Delta{Since: s.truth.Head(), Through: s.truth.Head() + 1}
 	for _, team := range group {
 		d.Records = append(d.Records, accepted.Record{Team: team, Revision: d.Through, Document: document()})
--- a/settings/accepted/state.go
+++ b/settings/accepted/state.go
@@ -100,10 +100,10 @@
 	return newer
 }
 
-// Since returns the records newer than a revision, oldest first, up to
+// DeltaSince returns the records newer than a revision, oldest first, up to
 // MaxDeltaBytes. If not all fit, Through is below the head and the caller
-// continues with Since(Through).
-func (s *State) Since(revision int64) Delta {
+// continues with DeltaSince(Through).
+func (s *State) DeltaSince(revision int64) Delta {
 	d := Delta{Since: revision, Through: s.head}
 	if revision >= s.head {
 		return d
--- a/settings/accepted/state_test.go
+++ b/settings/accepted/state_test.go
@@ -54,7 +54,7 @@
 	}
 	rounds := 0
 	for to.Head() < from.Head() {
-		d := from.Since(to.Head())
+		d := from.DeltaSince(to.Head())
 		is.True(len(d.Records) <= 4)
 		is.True(!to.Apply(d).Gap)
 		rounds++
@@ -99,7 +99,7 @@
 // read applies a list of the store as it was at any earlier revision.
 func (m *stateMachine) read(t *rapid.T) {
 	old := rapid.SampledFrom(m.history).Draw(t, "read")
-	m.nodes[m.node(t)].Apply(old.Since(0))
+	m.nodes[m.node(t)].Apply(old.DeltaSince(0))
 }
 
 // watch delivers the events of any one commit, in any order of commits, with some
@@ -124,7 +124,7 @@
 // pull applies what one node holds above the head of another.
 func (m *stateMachine) pull(t *rapid.T) {
 	from, to := m.node(t), m.node(t)
-	m.nodes[to].Apply(m.nodes[from].Since(m.nodes[to].Head()))
+	m.nodes[to].Apply(m.nodes[from].DeltaSince(m.nodes[to].Head()))
 }
 
 // pullLate delivers a peer's late response to an earlier pull: it was computed for
@@ -134,7 +134,7 @@
 	since := rapid.Int64Range(0, m.nodes[to].Head()).Draw(t, "since")
 	old := copyOf(m.nodes[from])
 	m.read(t)
-	m.nodes[to].Apply(old.Since(since))
+	m.nodes[to].Apply(old.DeltaSince(since))
 }
 
 // check fails if a team's revision decreased on a node, or if a node lacks a
@@ -167,9 +167,9 @@
 			"accept": m.accept, "read": m.read, "watch": m.watch,
 			"pull": m.pull, "pullLate": m.pullLate, "": m.check,
 		})
-		m.nodes[0].Apply(m.reference.Since(m.nodes[0].Head()))
+		m.nodes[0].Apply(m.reference.DeltaSince(m.nodes[0].Head()))
 		for i := range m.nodes {
-			m.nodes[i].Apply(m.nodes[0].Since(m.nodes[i].Head()))
+			m.nodes[i].Apply(m.nodes[0].DeltaSince(m.nodes[i].Head()))
 			is.New(rt).Equal(m.nodes[i].records, m.reference.records)
 			is.New(rt).Equal(m.nodes[i].head, m.reference.head)
 		}
--- a/settings/acceptor/acceptor.go
+++ b/settings/acceptor/acceptor.go
@@ -29,9 +29,9 @@
 const (
 	// dutyInterval is the time between checks whether this node has the duty.
 	dutyInterval = 500 * time.Millisecond
-	// GroupDelay is the wait after a change, so that changes written at about
+	// BatchDelay is the wait after a change, so that changes written at about
 	// the same time share a transaction.
-	GroupDelay = 50 * time.Millisecond
+	BatchDelay = 50 * time.Millisecond
 	// StandbyDelay is how long the standby waits for the primary to decide on
 	// a change.
 	StandbyDelay = time.Second
@@ -166,7 +166,7 @@
 // delay returns the remaining time to wait for more changes or, on the standby,
 // for the primary.
 func (s *session) delay() time.Duration {
-	wait := GroupDelay
+	wait := BatchDelay
 	if s.a.position() > 0 {
 		wait = StandbyDelay
 	}
--- a/settings/acceptor/plan.go
+++ b/settings/acceptor/plan.go
@@ -17,8 +17,8 @@
 // Limits of one commit: etcd allows 128 operations in a transaction; a team needs
 // three and the head one.
 const (
-	MaxGroup      = 40
-	maxGroupBytes = 512 << 10
+	MaxBatchTeams = 40
+	maxBatchBytes = 512 << 10
 )
 
 // Plan holds the decisions of one pass: the records to accept and the statuses of
@@ -30,7 +30,7 @@
 
 func (p Plan) empty() bool { return len(p.Accept)+len(p.Refuse) == 0 }
 
-// plan decides on up to MaxGroup teams whose documents changed, oldest change
+// plan decides on up to MaxBatchTeams teams whose documents changed, oldest change
 // first. The new revision is above the tree's head and above floor, the highest
 // revision that this node holds from any source.
 func (t *Tree) plan(floor int64, now time.Time) Plan {
@@ -39,7 +39,7 @@
 	teams := t.inForce()
 	size := 0
 	for _, team := range t.pending() {
-		if len(p.Accept)+len(p.Refuse) == MaxGroup || size > maxGroupBytes {
+		if len(p.Accept)+len(p.Refuse) == MaxBatchTeams || size > maxBatchBytes {
 			break
 		}
 		doc, faults := t.check(team, teams)
--- a/settings/clash.go
+++ b/settings/clash.go
@@ -70,7 +70,7 @@
 
 // addPool indexes a model's or service's shared name and the limits of its pool,
 // and returns a fault for each conflict.
-func (x *Index) addPool(team, path string, shared bool, ref PoolRef) []Fault {
+func (x *Index) addPool(team, path string, shared bool, ref ResolvedPool) []Fault {
 	var faults []Fault
 	if shared {
 		faults = defineOnce(x.shared, path, definition{team, path}, "shared name", "choose another name or don't share it")
--- a/settings/duty/duty_test.go
+++ b/settings/duty/duty_test.go
@@ -65,7 +65,7 @@
 	for i := range v.Nodes {
 		v.Nodes[i].State = membership.Leaving
 	}
-	first, later := Announcees(v)
+	first, later := AnnouncementPeers(v)
 	is.Equal(len(first)+len(later), 2)
 	is.Equal(len(Acceptors(v)), 0)
 }
@@ -110,7 +110,7 @@
 		}
 		peer, ok := AntiEntropyPeer(v, rapid.IntRange(0, 1).Draw(rt, "round"), rnd)
 		is.Equal(ok, others > 0)
-		first, later := Announcees(v)
+		first, later := AnnouncementPeers(v)
 		announcees := append(first, later...)
 		is.Equal(len(announcees) > 0, others > 0) // a revision is announced to another node if there is one
 		is.Equal(len(Seeds(v, rnd)), others)      // all nodes are in one region
@@ -126,7 +126,7 @@
 	v := view(2, 18)
 	announced := make(map[string]int)
 	for _, r := range Relays(v, "d1") {
-		first, later := Announcees(&membership.View{Self: r.ID, Nodes: v.Nodes})
+		first, later := AnnouncementPeers(&membership.View{Self: r.ID, Nodes: v.Nodes})
 		is.Equal(len(first)+len(later), 17)
 		for _, n := range first {
 			announced[n.ID]++
--- a/settings/duty/peers.go
+++ b/settings/duty/peers.go
@@ -8,13 +8,13 @@
 	"github.com/knapweedgw/knapweedgw/routing"
 )
 
-// Announcees returns the nodes to which a relay announces a new revision: the other
+// AnnouncementPeers returns the nodes to which a relay announces a new revision: the other
 // nodes of its failure domain or, if there are none, one of its seeds, so that a
 // second node holds the revision. The relays split the nodes of the failure domain
 // by hash: first is this relay's own part, to be announced at once, and later is
 // the other relay's part, to be announced after a delay in case that relay has
 // failed.
-func Announcees(v *membership.View) (first, later []membership.Node) {
+func AnnouncementPeers(v *membership.View) (first, later []membership.Node) {
 	sameDomain, _ := others(v)
 	if len(sameDomain) == 0 {
 		seeds := seeds(v)
--- a/settings/follower/exchange.go
+++ b/settings/follower/exchange.go
@@ -26,12 +26,12 @@
 	// HintTimeout is the timeout of a call that follows a new revision. It is
 	// shorter than callTimeout because the peer is close and the delta small.
 	HintTimeout = 300 * time.Millisecond
-	// LaterDelay is how long a relay waits before it announces also to the
+	// OtherPartDelay is how long a relay waits before it announces also to the
 	// other relay's part of the failure domain.
-	LaterDelay = 50 * time.Millisecond
-	// HintTries is the largest number of attempts of a call that follows a
+	OtherPartDelay = 50 * time.Millisecond
+	// MaxHintAttempts is the largest number of attempts of a call that follows a
 	// new revision.
-	HintTries = 3
+	MaxHintAttempts = 3
 	// antiEntropyInterval is the mean time between a node's comparisons of
 	// heads with another node. It is startupInterval during startupPeriod after the
 	// start, because relays announce to a new node only after it has appeared
@@ -87,7 +87,7 @@
 	f.learn(m)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Since(m.Head), nil
+	return f.state.DeltaSince(m.Head), nil
 }
 
 // learn handles another node's head: it confirms what both nodes hold, and queues a
@@ -124,18 +124,18 @@
 	}
 	m := headMessage{Head: head, From: self.PeerAddr}
 	send := func(n membership.Node) { f.announceTo(ctx, n.PeerAddr, m) }
-	first, later := duty.Announcees(v)
+	first, later := duty.AnnouncementPeers(v)
 	f.spawn(func() { f.forEach(first, send) })
 	f.spawn(func() {
-		f.wait(ctx, LaterDelay)
+		f.wait(ctx, OtherPartDelay)
 		f.forEach(later, send)
 	})
 }
 
 // announceTo sends the head until the peer answers, this node holds a newer head, or
-// HintTries attempts have failed.
+// MaxHintAttempts attempts have failed.
 func (f *Follower) announceTo(ctx context.Context, addr string, m headMessage) {
-	for range HintTries {
+	for range MaxHintAttempts {
 		reply, err := f.askHead(ctx, addr, methodAnnounce, m, HintTimeout)
 		f.metrics.announcements.WithLabelValues(resultOf(err)).Inc()
 		if err == nil {
@@ -185,7 +185,7 @@
 
 // follow pulls from the hint's peer, unless this node already holds the hint's head
 // and has it confirmed by another node. A failed pull goes to the end of the queue,
-// up to HintTries attempts.
+// up to MaxHintAttempts attempts.
 func (f *Follower) follow(ctx context.Context, h hint) {
 	if f.confirmed() >= h.head {
 		return
@@ -195,7 +195,7 @@
 		return
 	}
 	f.log.Debug("settings not pulled", "peer", h.addr, "tries", h.tries, "err", err)
-	if h.tries++; h.tries < HintTries {
+	if h.tries++; h.tries < MaxHintAttempts {
 		f.queueHint(h)
 	}
 }
--- a/settings/operator/operator.go
+++ b/settings/operator/operator.go
@@ -36,45 +36,45 @@
 	Now    func() time.Time
 }
 
-// Team holds the settings and the status of a team as read from the store.
-type Team struct {
+// TeamState holds the settings and the status of a team as read from the store.
+type TeamState struct {
 	// Record is the accepted document; its Revision is 0 if there was none
 	// yet.
 	Record accepted.Record
 	// Status is the last decision; its Change is 0 before the first.
 	Status accepted.Status
 	// Change is the store's revision of the operators' document, 0 if there
-	// is none. Note records who wrote it; it is zero if unknown.
-	Change int64
-	Note   settings.Change
+	// is none. ChangeInfo records who wrote it; it is zero if unknown.
+	Change     int64
+	ChangeInfo settings.Change
 }
 
 // Pending returns whether the operators' document is neither accepted nor refused
 // yet.
-func (t Team) Pending() bool {
+func (t TeamState) Pending() bool {
 	decided := t.Change == t.Record.Change || t.Change == t.Status.Change
 	return t.Change != 0 && !decided
 }
 
 // Read reads a team's settings and status from the store.
-func (c *Client) Read(ctx context.Context, team string) (Team, error) {
+func (c *Client) Read(ctx context.Context, team string) (TeamState, error) {
 	if err := settings.CheckTeamName(team); err != nil {
-		return Team{}, err
+		return TeamState{}, err
 	}
-	var t Team
+	var t TeamState
 	doc, _, err := c.Store.Get(ctx, settings.TeamKey(team))
 	if err != nil {
-		return Team{}, err
+		return TeamState{}, err
 	}
 	t.Change = doc.ModRevision
 	var note settings.Change
 	if mod, err := c.read(ctx, settings.ChangeKey(team), &note); err != nil {
-		return Team{}, err
+		return TeamState{}, err
 	} else if mod == t.Change {
-		t.Note = note
+		t.ChangeInfo = note
 	}
 	if _, err := c.read(ctx, accepted.TeamKey(team), &t.Record); err != nil {
-		return Team{}, err
+		return TeamState{}, err
 	}
 	_, err = c.read(ctx, accepted.StatusKey(team), &t.Status)
 	return t, err
@@ -154,8 +154,8 @@
 
 // conflictError returns ErrConflict with the author, time and number of the change that
 // was written first.
-func conflictError(t Team) error {
-	who, when, what := t.Note.Author, t.Note.At, fmt.Sprintf("change %d, not yet decided", t.Change)
+func conflictError(t TeamState) error {
+	who, when, what := t.ChangeInfo.Author, t.ChangeInfo.At, fmt.Sprintf("change %d, not yet decided", t.Change)
 	if !t.Pending() {
 		who, when, what = t.Record.Author, t.Record.At, fmt.Sprintf("revision %d", t.Record.Revision)
 	}
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -59,7 +59,7 @@
 		defaults[p.Path] = p.Default
 	}
 	m, s := Model{}.ref("x"), Service{}.ref("x")
-	for prefix, ref := range map[string]PoolRef{"models": m, "services": s} {
+	for prefix, ref := range map[string]ResolvedPool{"models": m, "services": s} {
 		is.Equal(defaults[prefix+".<name>.load_factor"], formatNumber(ref.LoadFactor))
 		is.Equal(defaults[prefix+".<name>.max_in_flight"], strconv.Itoa(ref.MaxInFlight))
 		is.Equal(defaults[prefix+".<name>.cells"], strconv.Itoa(ref.Cells))
--- a/settings/snapshot.go
+++ b/settings/snapshot.go
@@ -8,9 +8,9 @@
 	Weight     float64
 }
 
-// PoolRef is a model or service resolved to the pool that serves it, with
+// ResolvedPool is a model or service resolved to the pool that serves it, with
 // defaults applied.
-type PoolRef struct {
+type ResolvedPool struct {
 	Name        string
 	Pool        string
 	LoadFactor  float64
@@ -52,7 +52,7 @@
 
 // Model resolves a model name for a team: to the team's own model, otherwise to
 // a model that another team shares.
-func (s *Snapshot) Model(team, name string) (PoolRef, bool) {
+func (s *Snapshot) Model(team, name string) (ResolvedPool, bool) {
 	if m, ok := s.Teams[team].Models[name]; ok {
 		return m.ref(name), true
 	}
@@ -61,12 +61,12 @@
 			return m.ref(name), true
 		}
 	}
-	return PoolRef{}, false
+	return ResolvedPool{}, false
 }
 
 // Service resolves a service name for a team: to the team's own service,
 // otherwise to a service that another team shares.
-func (s *Snapshot) Service(team, name string) (PoolRef, bool) {
+func (s *Snapshot) Service(team, name string) (ResolvedPool, bool) {
 	if svc, ok := s.Teams[team].Services[name]; ok {
 		return svc.ref(name), true
 	}
@@ -75,7 +75,7 @@
 			return svc.ref(name), true
 		}
 	}
-	return PoolRef{}, false
+	return ResolvedPool{}, false
 }
 
 // Models returns the sorted names of the models that a team may use: its own
@@ -93,8 +93,8 @@
 	return slices.Compact(names)
 }
 
-func (m Model) ref(name string) PoolRef {
-	return PoolRef{
+func (m Model) ref(name string) ResolvedPool {
+	return ResolvedPool{
 		Name: name, Pool: orDefault(m.Pool, name),
 		LoadFactor:  orDefault(m.LoadFactor, DefaultLoadFactor),
 		MaxInFlight: orDefault(m.MaxInFlight, DefaultMaxInFlight),
@@ -102,8 +102,8 @@
 	}
 }
 
-func (s Service) ref(name string) PoolRef {
-	return PoolRef{
+func (s Service) ref(name string) ResolvedPool {
+	return ResolvedPool{
 		Name: name, Pool: orDefault(s.Pool, name),
 		LoadFactor:  orDefault(s.LoadFactor, DefaultLoadFactor),
 		MaxInFlight: orDefault(s.MaxInFlight, DefaultMaxInFlight),
