--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// The Unix time of Steady must follow the monotonic clock: those of time.Now diverge when the
+// The Unix time of Monotonic must follow the monotonic clock: those of time.Now diverge when the
 // system clock is set.
 func TestUnixTimeFollowsMonotonicClock(t *testing.T) {
 	is := is.New(t)
-	first := Steady()
+	first := Monotonic()
 	for range 1000 {
-		next := Steady()
+		next := Monotonic()
 		is.Equal(next.UnixNano()-first.UnixNano(), int64(next.Sub(first)))
 		is.True(!next.Before(first))
 	}
--- a/cmd/knapweedgw/route.go
+++ b/cmd/knapweedgw/route.go
@@ -88,7 +88,7 @@
 	return s
 }
 
-func route(ctx context.Context, path string, cfg *config.Router, signals nodeSignals) error {
+func route(ctx context.Context, path string, cfg *config.RouterNode, signals nodeSignals) error {
 	if cfg.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryLimit)))
 	}
--- a/cmd/knapweedgw/serve.go
+++ b/cmd/knapweedgw/serve.go
@@ -29,7 +29,7 @@
 			"    --store http://10.0.0.2:2379 --vm-list http://10.0.0.3/v1/vms",
 		Args: cobra.NoArgs,
 	}
-	cfg := config.Bind(cmd.Flags())
+	cfg := config.BindFlags(cmd.Flags())
 	cmd.Flags().BoolVar(&check, "check", false, "validate the configuration and exit")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if err := config.ApplyEnv(cmd.Flags()); err != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -17,55 +17,55 @@
 // is set by KNAPWEEDGW_PEER_LISTEN.
 const EnvPrefix = "KNAPWEEDGW_"
 
-// Node is the configuration of a node that is run with the serve command; see Bind for the
-// meaning and unit of each field.
+// Node is the configuration of a node that is run with the serve command; see BindFlags for
+// the meaning and unit of each field.
 type Node struct {
-	NodeID          string
-	Region          string
-	FailureDomain   string
-	Listen          string
-	PeerListen      string
-	StoreEndpoints  []string
-	VMListURL       string
-	VMListInterval  time.Duration
-	LogLevel        string
-	MaxBodyBytes    int64
-	BodyTimeout     time.Duration
-	MaxAttempts     int
-	RetryShare      float64
-	ResumeHold      time.Duration
-	StreamHold      time.Duration
-	AdmissionWait   time.Duration
-	AdmissionResync time.Duration
-	DutyTTL         time.Duration
-	DrainGrace      time.Duration
-	DrainDeadline   time.Duration
-	ClaimRetention  time.Duration
-	ClaimInterval   time.Duration
-	IncarnationTime time.Time
+	NodeID           string
+	Region           string
+	FailureDomain    string
+	Listen           string
+	PeerListen       string
+	StoreEndpoints   []string
+	VMListURL        string
+	VMListInterval   time.Duration
+	LogLevel         string
+	MaxBodyBytes     int64
+	BodyTimeout      time.Duration
+	MaxAttempts      int
+	RetryShare       float64
+	ResumeHold       time.Duration
+	StreamHold       time.Duration
+	AdmissionTimeout time.Duration
+	AdmissionResync  time.Duration
+	DutyTTL          time.Duration
+	DrainGrace       time.Duration
+	DrainDeadline    time.Duration
+	ClaimRetention   time.Duration
+	ClaimInterval    time.Duration
+	IncarnationTime  time.Time
 }
 
 // Defaults and minimums of the optional flags.
 const (
-	defaultVMListInterval  = 500 * time.Millisecond
-	defaultMaxBodyBytes    = 4 << 20
-	defaultBodyTimeout     = 15 * time.Second
-	defaultMaxAttempts     = 3
-	defaultRetryShare      = 0.2
-	defaultResumeHold      = 10 * time.Second
-	defaultStreamHold      = 250 * time.Millisecond
-	defaultAdmissionWait   = 25 * time.Millisecond
-	defaultAdmissionResync = 5 * time.Second
-	defaultDutyTTL         = 15 * time.Second
-	minDutyTTL             = 3 * time.Second
-	defaultDrainGrace      = 2 * time.Second
-	defaultClaimRetention  = 15 * time.Minute
-	minClaimRetention      = time.Minute
-	defaultClaimInterval   = 140 * time.Millisecond
+	defaultVMListInterval   = 500 * time.Millisecond
+	defaultMaxBodyBytes     = 4 << 20
+	defaultBodyTimeout      = 15 * time.Second
+	defaultMaxAttempts      = 3
+	defaultRetryShare       = 0.2
+	defaultResumeHold       = 10 * time.Second
+	defaultStreamHold       = 250 * time.Millisecond
+	defaultAdmissionTimeout = 25 * time.Millisecond
+	defaultAdmissionResync  = 5 * time.Second
+	defaultDutyTTL          = 15 * time.Second
+	minDutyTTL              = 3 * time.Second
+	defaultDrainGrace       = 2 * time.Second
+	defaultClaimRetention   = 15 * time.Minute
+	minClaimRetention       = time.Minute
+	defaultClaimInterval    = 140 * time.Millisecond
 )
 
-// Bind registers the node's flags in fs and returns the Node that they set.
-func Bind(fs *pflag.FlagSet) *Node {
+// BindFlags registers the node's flags in fs and returns the Node that they set.
+func BindFlags(fs *pflag.FlagSet) *Node {
 	c := &Node{IncarnationTime: time.Now()}
 	fs.StringVar(&c.NodeID, "node-id", "", "unique ID of this VM in the VM list (required)")
 	fs.StringVar(&c.Region, "region", "", "region of this VM (required)")
@@ -82,7 +82,7 @@
 	fs.Float64Var(&c.RetryShare, "retry-share", defaultRetryShare, "most retries a request, on average: the fleet's load grows by this share at most")
 	fs.DurationVar(&c.ResumeHold, "resume-hold", defaultResumeHold, "time an engine is asked to hold a cut stream for resumption; 0 for none")
 	fs.DurationVar(&c.StreamHold, "stream-hold", defaultStreamHold, "longest time empty opening events of a stream are held back, so that an overload behind them can be retried; 0 for none")
-	fs.DurationVar(&c.AdmissionWait, "admission-timeout", defaultAdmissionWait, "shortest wait for an owner's answer before the node decides by its own estimate; at most four times that")
+	fs.DurationVar(&c.AdmissionTimeout, "admission-timeout", defaultAdmissionTimeout, "shortest wait for an owner's answer before the node decides by its own estimate; at most four times that")
 	fs.DurationVar(&c.AdmissionResync, "admission-resync", defaultAdmissionResync, "interval of a node's full account of its places to each owner")
 	fs.DurationVar(&c.DrainGrace, "drain-grace", defaultDrainGrace, "time without a new request, after readiness failed, before the listener closes; at most ten times that")
 	fs.DurationVar(&c.DutyTTL, "duty-ttl", defaultDutyTTL, "time after which another node may take over the orders of a node that doesn't renew its lease; whole seconds")
@@ -136,7 +136,7 @@
 	check(c.RetryShare >= 0 && c.RetryShare <= 1, "--retry-share is not between 0 and 1: use 0.2")
 	check(c.ResumeHold >= 0, "--resume-hold is negative: use 0 for none")
 	check(c.StreamHold >= 0, "--stream-hold is negative: use 0 for none")
-	check(c.AdmissionWait > 0, "--admission-timeout is not positive: use 25ms")
+	check(c.AdmissionTimeout > 0, "--admission-timeout is not positive: use 25ms")
 	check(c.AdmissionResync > 0, "--admission-resync is not positive: use 5s")
 	check(c.DutyTTL >= minDutyTTL && c.DutyTTL%time.Second == 0, "--duty-ttl is under 3s or not in whole seconds: use 15s")
 	check(c.DrainGrace >= 0, "--drain-grace is negative: use 0 or more")
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -11,7 +11,7 @@
 
 func TestValidateReportsEveryInvalidFlag(t *testing.T) {
 	is := is.New(t)
-	c := Bind(pflag.NewFlagSet("node", pflag.ContinueOnError))
+	c := BindFlags(pflag.NewFlagSet("node", pflag.ContinueOnError))
 	c.Listen = "localhost:80"
 	c.MaxAttempts = 0
 	c.DutyTTL = 3500 * time.Millisecond
@@ -24,7 +24,7 @@
 func TestFlagsOverrideEnvironment(t *testing.T) {
 	is := is.New(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
-	c := Bind(fs)
+	c := BindFlags(fs)
 	t.Setenv("KNAPWEEDGW_NODE_ID", "from-env")
 	t.Setenv("KNAPWEEDGW_REGION", "from-env")
 	is.NoErr(fs.Parse([]string{"--region", "from-flag"}))
@@ -36,7 +36,7 @@
 func TestInvalidEnvironmentVariableIsNamed(t *testing.T) {
 	is := is.New(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
-	Bind(fs)
+	BindFlags(fs)
 	t.Setenv("KNAPWEEDGW_MAX_ATTEMPTS", "many")
 	err := ApplyEnv(fs)
 	is.True(err != nil)
--- a/config/router.go
+++ b/config/router.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Router is the configuration of a router node, whose routes are defined by a
+// RouterNode is the configuration of a router node, whose routes are defined by a
 // platform's catalog. An adapter sets it from the platform's settings.
-type Router struct {
+type RouterNode struct {
 	NodeID        string
 	Region        string
 	FailureDomain string
@@ -28,20 +28,20 @@
 	StoreAddr string
 	// MemoryLimit is the memory that the process may use, in bytes; 0 for no limit.
 	MemoryLimit int64
-	// MaxFiles is the number of file descriptors that the process may open,
+	// MaxFileDescriptors is the number of file descriptors that the process may open,
 	// including sockets; 0 for no limit.
-	MaxFiles int
-	// Grace is the time from SIGTERM to SIGKILL.
-	Grace time.Duration
-	// RetryShare, RetryWindow and RetrySlack limit the fleet's retries to a service:
-	// within any RetryWindow at most RetryShare * requests + RetrySlack.
-	RetryShare  float64
-	RetryWindow time.Duration
-	RetrySlack  float64
+	MaxFileDescriptors int
+	// ShutdownGrace is the time from SIGTERM to SIGKILL.
+	ShutdownGrace time.Duration
+	// RetryShare, RetryWindow and RetryAllowance limit the fleet's retries to a service:
+	// within any RetryWindow at most RetryShare * requests + RetryAllowance.
+	RetryShare     float64
+	RetryWindow    time.Duration
+	RetryAllowance float64
 }
 
 // Validate returns all errors of the configuration joined, each with its remedy.
-func (c *Router) Validate() error {
+func (c *RouterNode) Validate() error {
 	var errs []error
 	check := func(ok bool, message string) {
 		if !ok {
@@ -53,10 +53,10 @@
 	check(isIPPort(c.ReadyListen), "the readiness address is not ip:port: use an IP number of this VM")
 	check(isIPPort(c.PeerListen), "the nodes' address is not ip:port: give the VM's IP number and a range of internal ports")
 	check(isIPPort(c.StoreAddr), "the store's address is not ip:port: use the IP number of the platform's store")
-	check(c.MaxFiles >= 0, "the limit of descriptors is negative: use 0 for none")
-	check(c.Grace > 0, "the grace time is not positive: give the time from SIGTERM to SIGKILL in seconds")
+	check(c.MaxFileDescriptors >= 0, "the limit of descriptors is negative: use 0 for none")
+	check(c.ShutdownGrace > 0, "the grace time is not positive: give the time from SIGTERM to SIGKILL in seconds")
 	check(c.RetryShare >= 0 && c.RetryShare <= 1, "the retry share is not between 0 and 1: use 0.2")
 	check(c.RetryWindow > 0, "the retry window is not positive: use 10 s")
-	check(c.RetrySlack >= 0, "the retry slack is negative: use 0 for none")
+	check(c.RetryAllowance >= 0, "the retry slack is negative: use 0 for none")
 	return errors.Join(errs...)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -166,7 +166,7 @@
 		targets:  &fakeTargets{pool: pool},
 		metrics:  prometheus.NewRegistry(),
 	}
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Steady, log.New(io.Discard), prometheus.NewRegistry())
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Monotonic, log.New(io.Discard), prometheus.NewRegistry())
 	services := []kernel.Service{n.settings, n.admitter, n.targets, fakeGuard{guard}}
 	for _, o := range opts {
 		o(cfg, &services)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -70,7 +70,7 @@
 }
 
 // startAttempt records the target and the start time of an attempt.
-func (r *guardedRequest) startAttempt(t targets.Target) { r.target, r.sent = t, clock.Steady() }
+func (r *guardedRequest) startAttempt(t targets.Target) { r.target, r.sent = t, clock.Monotonic() }
 
 // recordAttempt reports the outcome of an attempt to the guard.
 func (r *guardedRequest) recordAttempt(ctx context.Context, fail *attemptError) {
@@ -93,7 +93,7 @@
 // If the target no longer accepts connections, the request is reported as a suspect of its
 // termination.
 func (r *guardedRequest) recordDisconnect() {
-	closed := clock.Steady()
+	closed := clock.Monotonic()
 	if !refusesConnections(r.target.Addr) {
 		return
 	}
--- a/lab/capacity/fleet.go
+++ b/lab/capacity/fleet.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	id := fmt.Sprintf("node-%d", i)
-	cfg := config.Bind(pflag.NewFlagSet(id, pflag.ContinueOnError))
+	cfg := config.BindFlags(pflag.NewFlagSet(id, pflag.ContinueOnError))
 	cfg.NodeID, cfg.Region, cfg.FailureDomain = id, fleetRegion, domain(i)
 	cfg.Listen, cfg.PeerListen = listen, peerAddr
 	cfg.StoreEndpoints, cfg.VMListURL = []string{f.server.URL}, f.server.URL+"/v1/vms"
--- a/lab/doccheck/operations_test.go
+++ b/lab/doccheck/operations_test.go
@@ -53,7 +53,7 @@
 func metrics(t *testing.T) map[string]bool {
 	t.Helper()
 	is := is.New(t)
-	cfg := config.Bind(pflag.NewFlagSet("node", pflag.ContinueOnError))
+	cfg := config.BindFlags(pflag.NewFlagSet("node", pflag.ContinueOnError))
 	cfg.NodeID, cfg.Region, cfg.FailureDomain = "node-1", "region-1", "domain-1"
 	cfg.StoreEndpoints, cfg.VMListURL = []string{"http://127.0.0.1:1"}, "http://127.0.0.1:1/v1/vms"
 	k, err := node.New(cfg, io.Discard)
@@ -81,9 +81,9 @@
 // routerMetrics returns the names of a router node's metrics.
 func routerMetrics(t *testing.T) map[string]bool {
 	t.Helper()
-	cfg := &config.Router{
+	cfg := &config.RouterNode{
 		NodeID: "node-1", Listen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2", PeerListen: "127.0.0.1:3",
-		StoreAddr: "127.0.0.1:4", Grace: time.Second, RetryWindow: time.Second,
+		StoreAddr: "127.0.0.1:4", ShutdownGrace: time.Second, RetryWindow: time.Second,
 	}
 	reg := prometheus.NewRegistry()
 	telemetry.NewAsyncWriter(io.Discard, reg)
@@ -104,7 +104,7 @@
 func TestEveryFlagIsExplained(t *testing.T) {
 	text := operations(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
-	config.Bind(fs)
+	config.BindFlags(fs)
 	fs.VisitAll(func(f *pflag.Flag) {
 		if !strings.Contains(text, "`--"+f.Name+"`") {
 			t.Errorf("docs/OPERATIONS.md: no flag --%s", f.Name)
--- a/lab/standin/answered_test.go
+++ b/lab/standin/answered_test.go
@@ -282,7 +282,7 @@
 	s.Configure(overdueSoon)
 	// A new node takes an eighth of the slack, less the reserve of a quarter: room
 	// for one retry.
-	s.Adjust = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 1.5*8/0.75 }
+	s.Adjust = func(c *config.RouterNode) { c.RetryShare, c.RetryAllowance = 1e-9, 1.5*8/0.75 }
 	s.Start(1)
 	for _, e := range s.Plain {
 		e.StallFor = 2 * time.Second
@@ -308,7 +308,7 @@
 		t.Run(path, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
 			s.Configure(overdueSoon)
-			s.Adjust = func(c *config.Router) { c.RetryShare, c.RetrySlack = 1e-9, 0 }
+			s.Adjust = func(c *config.RouterNode) { c.RetryShare, c.RetryAllowance = 1e-9, 0 }
 			s.Start(1)
 			for _, e := range s.Engines() {
 				e.StallFor = time.Second
--- a/lab/standin/quarantine_test.go
+++ b/lab/standin/quarantine_test.go
@@ -123,7 +123,7 @@
 // later copies are served as ever.
 func TestRequestBesideAHarmfulOneIsServed(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
-	s.Adjust = func(cfg *config.Router) { cfg.RetrySlack = 1000 } // each copy is repeated
+	s.Adjust = func(cfg *config.RouterNode) { cfg.RetryAllowance = 1000 } // each copy is repeated
 	s.Start(3)
 	beside := Request{Path: ResumePath + "beside", Body: "x", Header: http.Header{BeforeHeader: {"150"}}}
 	ended := make(map[*Engine]bool)
--- a/lab/standin/regions_test.go
+++ b/lab/standin/regions_test.go
@@ -41,7 +41,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
-			s.Adjust = func(c *config.Router) {
+			s.Adjust = func(c *config.RouterNode) {
 				c.Regions = map[string]string{"zone-0": "north", "zone-1": "south", "zone-2": "east"}
 			}
 			s.Configure(confine(tt.route, tt.workspace))
--- a/lab/standin/site.go
+++ b/lab/standin/site.go
@@ -55,7 +55,7 @@
 	Nodes   []*Node
 	// Adjust changes the settings of each node that starts, Wrap its way of
 	// speaking to callers and engines; nil for none.
-	Adjust func(*config.Router)
+	Adjust func(*config.RouterNode)
 	Wrap   func(router.Dialect) router.Dialect
 
 	version int
@@ -66,7 +66,7 @@
 
 // Node is a router node of the site.
 type Node struct {
-	Config *config.Router
+	Config *config.RouterNode
 	Logs   *Logs
 	kernel *kernel.Kernel
 	once   sync.Once
@@ -179,10 +179,10 @@
 		peers[j] = net.JoinHostPort(nodeIP(j), strconv.Itoa(s.peerPort))
 	}
 	ip := nodeIP(i)
-	cfg := &config.Router{
+	cfg := &config.RouterNode{
 		NodeID: fmt.Sprint("node-", i), Region: "region", FailureDomain: fmt.Sprint("zone-", i%3),
 		Listen: FreeAddr(s.T, ip), ReadyListen: FreeAddr(s.T, ip), PeerListen: peers[i], Seeds: peers,
-		StoreAddr: s.Store.Addr(), Grace: Grace, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
+		StoreAddr: s.Store.Addr(), ShutdownGrace: Grace, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 50,
 	}
 	if s.Adjust != nil {
 		s.Adjust(cfg)
@@ -192,7 +192,7 @@
 	}
 	logs := &Logs{}
 	p := platform.NewAdapter("", cfg).Platform(cfg)
-	p.Store = platform.NewStoreFrom(cfg.StoreAddr, ip)
+	p.Store = platform.NewStoreWithLocalIP(cfg.StoreAddr, ip)
 	if s.Wrap != nil {
 		p.Dialect = s.Wrap(p.Dialect)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -77,7 +77,7 @@
 func provideAdmission(cfg *config.Node, l *log.Logger, reg prometheus.Registerer) *admission.Service {
 	return admission.New(admission.Config{
 		Node: cfg.NodeID, Incarnation: cfg.IncarnationTime.UnixNano(), Region: cfg.Region,
-		Timeout: cfg.AdmissionWait, Resync: cfg.AdmissionResync,
+		Timeout: cfg.AdmissionTimeout, Resync: cfg.AdmissionResync,
 	}, l, reg)
 }
 
@@ -89,7 +89,7 @@
 }
 
 func provideGossip(hub *peer.Hub, mem *membership.Members, l *log.Logger, reg prometheus.Registerer) *gossip.Service {
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Steady, l, reg)
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Monotonic, l, reg)
 	return gossip.New(guard, hub, mem, l)
 }
 
--- a/node/router.go
+++ b/node/router.go
@@ -28,7 +28,7 @@
 // routerLogLevel is the level of the log lines that explain failed requests.
 const routerLogLevel = "info"
 
-func provideRouterLogger(cfg *config.Router, w io.Writer) (*log.Logger, error) {
+func provideRouterLogger(cfg *config.RouterNode, w io.Writer) (*log.Logger, error) {
 	return telemetry.NewLogger(w, routerLogLevel, cfg.NodeID)
 }
 
@@ -42,14 +42,14 @@
 // one round trip.
 const peerIdleTimeout = time.Second
 
-func provideRouterHub(cfg *config.Router, l *log.Logger, reg prometheus.Registerer) *peer.Hub {
+func provideRouterHub(cfg *config.RouterNode, l *log.Logger, reg prometheus.Registerer) *peer.Hub {
 	hub := peer.NewHub(cfg.PeerListen, l, reg)
 	hub.CloseIdleAfter(peerIdleTimeout)
 	return hub
 }
 
 func provideExchange(
-	cfg *config.Router, p Platform, l *log.Logger, reg prometheus.Registerer,
+	cfg *config.RouterNode, p Platform, l *log.Logger, reg prometheus.Registerer,
 ) *heartbeat.Exchange {
 	return heartbeat.NewExchange(heartbeat.DefaultConfig(), cfg.PeerListen, p.Seeds, l, reg)
 }
@@ -61,12 +61,12 @@
 }
 
 func provideRouter(
-	cfg *config.Router, p Platform, rep *replica.Replica, x *heartbeat.Exchange, l *log.Logger, reg prometheus.Registerer,
+	cfg *config.RouterNode, p Platform, rep *replica.Replica, x *heartbeat.Exchange, l *log.Logger, reg prometheus.Registerer,
 ) *router.Router {
 	return router.New(cfg, p.Dialect, rep, x, l, reg)
 }
 
-func provideMetricsServer(cfg *config.Router, reg *prometheus.Registry, l *log.Logger) *telemetry.Server {
+func provideMetricsServer(cfg *config.RouterNode, reg *prometheus.Registry, l *log.Logger) *telemetry.Server {
 	return telemetry.NewServer(cfg.MetricsListen, reg, l)
 }
 
--- a/node/wire.go
+++ b/node/wire.go
@@ -52,7 +52,7 @@
 
 // NewRouter assembles a node that routes requests by a platform's catalog. Logs are
 // written to logs and metrics registered in reg.
-func NewRouter(cfg *config.Router, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
+func NewRouter(cfg *config.RouterNode, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
 	wire.Build(routerServices)
 	return nil, nil
 }
--- a/node/wire_gen.go
+++ b/node/wire_gen.go
@@ -22,7 +22,7 @@
 
 // NewRouter assembles a node that routes requests by a platform's catalog. Logs are
 // written to logs and metrics registered in reg.
-func NewRouter(cfg *config.Router, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
+func NewRouter(cfg *config.RouterNode, p Platform, logs io.Writer, reg *prometheus.Registry) (*kernel.Kernel, error) {
 	service := telemetry.NewService(reg)
 	logger, err := provideRouterLogger(cfg, logs)
 	if err != nil {
--- a/router/drain.go
+++ b/router/drain.go
@@ -43,8 +43,8 @@
 // that callers keep using.
 func (r *Router) Stop(ctx context.Context) error {
 	started := r.now()
-	deadline := started.Add(r.cfg.Grace - stopMargin)
-	removedAt := started.Add(min(unreadyPropagation, r.cfg.Grace/3))
+	deadline := started.Add(r.cfg.ShutdownGrace - stopMargin)
+	removedAt := started.Add(min(unreadyPropagation, r.cfg.ShutdownGrace/3))
 	pause.Sleep(ctx, removedAt.Sub(started))
 	err := r.callerListener.Close()
 	r.drainConns(ctx, deadline.Add(-refusalMargin))
--- a/router/pool.go
+++ b/router/pool.go
@@ -141,7 +141,7 @@
 func newPool(f Fleet, g *quarantine.Guard, domain string, l *log.Logger) *pool {
 	return &pool{
 		fleet: f, guard: g, healthConfig: health.DefaultConfig(),
-		domain: domain, log: l, now: clock.Steady, dial: dialOnce,
+		domain: domain, log: l, now: clock.Monotonic, dial: dialOnce,
 		members: make(map[string]*member), byRun: make(map[uint32]*member),
 		services: make(map[string]*serviceMembers), fullScanLimit: maxFullScan,
 		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
--- a/router/router.go
+++ b/router/router.go
@@ -63,7 +63,7 @@
 
 // Router serves callers' requests.
 type Router struct {
-	cfg     *config.Router
+	cfg     *config.RouterNode
 	dialect Dialect
 	replica Replica
 	fleet   Fleet
@@ -93,11 +93,11 @@
 
 // New returns a router that will listen on the addresses of cfg.
 func New(
-	cfg *config.Router, d Dialect, b *replica.Replica, x *heartbeat.Exchange, l *log.Logger, reg prometheus.Registerer,
+	cfg *config.RouterNode, d Dialect, b *replica.Replica, x *heartbeat.Exchange, l *log.Logger, reg prometheus.Registerer,
 ) *Router {
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Steady, l, reg)
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Monotonic, l, reg)
 	r := &Router{
-		cfg: cfg, dialect: d, replica: b, fleet: x, log: l, now: clock.Steady,
+		cfg: cfg, dialect: d, replica: b, fleet: x, log: l, now: clock.Monotonic,
 		guard: guard, noteDue: make(chan struct{}, 1),
 		pool:    newPool(x, guard, cfg.FailureDomain, l),
 		metrics: newMetrics(reg), windows: make(map[string]*retry.Window),
@@ -106,7 +106,7 @@
 	r.pool.regionOf = cfg.Regions
 	r.pool.self = routing.Hash(cfg.PeerListen)
 	r.pool.warmUpOf = r.warmUpOf
-	r.conns = newConnTracker(connLimit(cfg.MaxFiles), r.metrics)
+	r.conns = newConnTracker(connLimit(cfg.MaxFileDescriptors), r.metrics)
 	b.OnTargets(r.pool.update)
 	b.OnNote(r.readNote)
 	x.SetReporter(r)
@@ -199,7 +199,7 @@
 	w, ok := r.windows[service]
 	if !ok {
 		w = retry.NewWindow(retry.WindowConfig{
-			Share: r.cfg.RetryShare, Slack: r.cfg.RetrySlack, Window: r.cfg.RetryWindow,
+			Share: r.cfg.RetryShare, Slack: r.cfg.RetryAllowance, Window: r.cfg.RetryWindow,
 			Reserve: retryReserve, MinNodes: assumedNodes,
 		}, r.now())
 		r.windows[service] = w
