--- a/lab/soak/notices.go
+++ b/lab/soak/notices.go
@@ -12,20 +12,20 @@
 	// leaveBound is how long a target may still get requests from a node after that node has
 	// passed on a response in which the target announces that it leaves.
 	leaveBound = 2 * time.Second
-	// A target that asks a node for a rest wants no requests from it for that time. Requests
-	// already on their way may reach it for restSlack; after that at most restArrivals may until
-	// the rest ends.
-	restSlack    = 500 * time.Millisecond
-	restArrivals = 2
-	// minRest and maxRest limit the length of the rests that targets ask for.
-	minRest = time.Second
-	maxRest = 3 * time.Second
+	// A target that asks a node for a cooldown wants no requests from it for that time. Requests
+	// already on their way may reach it for cooldownSlack; after that at most cooldownArrivals
+	// may until the cooldown ends.
+	cooldownSlack    = 500 * time.Millisecond
+	cooldownArrivals = 2
+	// minCooldown and maxCooldown limit the length of the cooldowns that targets ask for.
+	minCooldown = time.Second
+	maxCooldown = 3 * time.Second
 	// fewRefusals is how many requests a target rejects in a step that doesn't reject all.
 	fewRefusals = 3
 )
 
-// announcementCheck holds what the check of targets that announce that they leave or want a rest
-// needs.
+// announcementCheck holds what the check of targets that announce that they leave or ask for a
+// cooldown needs.
 type announcementCheck struct {
 	mu sync.Mutex
 	// nodes maps a request ID to the node that the request was sent to.
@@ -76,12 +76,12 @@
 	r.store.SetMode(standin.Serving)
 }
 
-// shed makes a target reject requests and ask for a rest: all requests during the step, or the first
-// fewRefusals for an even Variant.
+// shed makes a target reject requests and ask for a cooldown: all requests during the step, or the
+// first fewRefusals for an even Variant.
 func (r *run) shed(s Step) {
 	e := r.target(s).current()
 	defer r.targetFaultsOf(e.ID).begin()()
-	e.AskForRest(minRest + time.Duration(s.Variant)*time.Millisecond%(maxRest-minRest))
+	e.AskForRest(minCooldown + time.Duration(s.Variant)*time.Millisecond%(maxCooldown-minCooldown))
 	count := -1
 	if s.Variant%2 == 0 {
 		count = fewRefusals
@@ -92,7 +92,7 @@
 }
 
 // checkAnnouncements checks the requests that reached targets after these had announced that they
-// leave or want a rest.
+// leave or ask for a cooldown.
 func (r *run) checkAnnouncements() {
 	r.announcements.mu.Lock()
 	defer r.announcements.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 	for n, engines := range arrivals {
 		for _, at := range engines {
-			r.checkRests(n, at)
+			r.checkCooldowns(n, at)
 		}
 	}
 }
@@ -136,21 +136,21 @@
 	}
 }
 
-// checkRests checks the requests that a target got from node n during its rests. The arrivals are
-// ordered by time.
-func (r *run) checkRests(n *process, arrivals []standin.Arrival) {
+// checkCooldowns checks the requests that a target got from node n during its cooldowns. The
+// arrivals are ordered by time.
+func (r *run) checkCooldowns(n *process, arrivals []standin.Arrival) {
 	for i, asked := range arrivals {
 		if asked.Rest == 0 {
 			continue
 		}
-		from, to := asked.At.Add(restSlack), asked.At.Add(asked.Rest)
+		from, to := asked.At.Add(cooldownSlack), asked.At.Add(asked.Rest)
 		meanwhile := 0
 		for _, a := range arrivals[i+1:] {
 			if a.Born == asked.Born && a.At.After(from) && a.At.Before(to) {
 				meanwhile++
 			}
 		}
-		if meanwhile > restArrivals && !n.interrupted(asked.At, to) {
+		if meanwhile > cooldownArrivals && !n.interrupted(asked.At, to) {
 			r.checker.broken("request %s: %s asked %s for %v of rest and got %d requests meanwhile",
 				asked.Request, asked.Engine, n.name, asked.Rest, meanwhile)
 		}
