--- a/claims/fakes_test.go
+++ b/claims/fakes_test.go
@@ -237,11 +237,11 @@
 	f(s)
 }
 
-func (s *faultyStore) List(ctx context.Context, prefix string) (store.Page, error) {
+func (s *faultyStore) List(ctx context.Context, prefix string) (store.ListResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse {
-		return store.Page{}, store.ErrUnavailable
+		return store.ListResult{}, store.ErrUnavailable
 	}
 	return s.Store.List(ctx, prefix)
 }
@@ -272,7 +272,7 @@
 	s := DefaultSettings()
 	s.Shard.Interval = time.Millisecond
 	s.Shard.MaxStateAge = 0
-	s.Shard.MaxClearAge = time.Hour
+	s.Shard.MaxNoEarlierRunAge = time.Hour
 	s.Shard.Backoff = time.Millisecond
 	s.Attempt.Life = time.Minute
 	s.Ends.MinBackoff = time.Millisecond
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -93,5 +93,5 @@
 }
 
 func (s *OrderServer) serveJournal(_ *restful.Request, w *restful.Response) {
-	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.Journal())
+	_ = json.NewEncoder(w.ResponseWriter).Encode(s.engine.AppliedOrders())
 }
--- a/lab/fleettest/orders_test.go
+++ b/lab/fleettest/orders_test.go
@@ -92,7 +92,7 @@
 	t.Helper()
 	s := etcd.New([]string{f.platformURL}, conditionTimeout)
 	eventually(t, "a node holds the lease", func() bool {
-		kv, ok, err := s.Get(t.Context(), lease.Key(orders.Duty(region, model)))
+		kv, ok, err := s.Get(t.Context(), lease.Key(orders.LeaseName(region, model)))
 		if err != nil || !ok {
 			return false
 		}
@@ -119,9 +119,9 @@
 }
 
 // journal returns the orders that an engine applied, oldest first.
-func journal(t *testing.T, url string) []orderstest.Entry {
+func journal(t *testing.T, url string) []orderstest.AppliedOrder {
 	t.Helper()
-	var entries []orderstest.Entry
+	var entries []orderstest.AppliedOrder
 	if err := getJSON(url+"/lab/orders/journal", &entries); err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 }
 
 // fencesNeverDecrease reports whether there are entries and their fencing numbers never decrease.
-func fencesNeverDecrease(entries []orderstest.Entry) bool {
+func fencesNeverDecrease(entries []orderstest.AppliedOrder) bool {
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Order.Fence < entries[i-1].Order.Fence {
 			return false
--- a/lab/measure/claims/stepper.go
+++ b/lab/measure/claims/stepper.go
@@ -11,7 +11,7 @@
 type surroundings interface {
 	time() core.Instant
 	wake(d time.Duration, f func())
-	list(prefix string, done func(store.Page, error))
+	list(prefix string, done func(store.ListResult, error))
 	commit(t store.Txn, done func(int64, bool, error))
 }
 
@@ -29,7 +29,7 @@
 	return &stepper{in: in, shard: s, waits: make(map[core.Ref]func(core.Reply))}
 }
 
-func (s *stepper) ask(a core.Ask, wait time.Duration, done func(core.Reply)) {
+func (s *stepper) ask(a core.ClaimRequest, wait time.Duration, done func(core.Reply)) {
 	s.refs++
 	s.waits[s.refs] = done
 	now := s.in.time()
@@ -41,7 +41,7 @@
 	s.pump()
 }
 
-func (s *stepper) end(e core.End, wait time.Duration, done func(core.Reply)) {
+func (s *stepper) end(e core.OutcomeRecord, wait time.Duration, done func(core.Reply)) {
 	s.refs++
 	s.waits[s.refs] = done
 	now := s.in.time()
@@ -61,7 +61,7 @@
 		s.sleep(step.Until)
 	case core.StepRead:
 		s.busy = true
-		s.in.list(step.Prefix, func(page store.Page, err error) {
+		s.in.list(step.Prefix, func(page store.ListResult, err error) {
 			s.busy = false
 			s.shard.Loaded(s.in.time(), page, err)
 			s.pump()
--- a/lab/standin/quarantine_test.go
+++ b/lab/standin/quarantine_test.go
@@ -122,7 +122,7 @@
 // its later copies are served as usual.
 func TestRequestBesideAnEndingOneIsServed(t *testing.T) {
 	is, s := is.New(t), NewSite(t)
-	s.AdjustConfig = func(cfg *config.Router) { cfg.RetrySlack = 1000 } // enough to retry each copy
+	s.AdjustConfig = func(cfg *config.RouterNode) { cfg.RetryAllowance = 1000 } // enough to retry each copy
 	s.Start(3)
 	beside := Request{Path: ResumePath + "beside", Body: "x", Header: http.Header{BeforeHeader: {"150"}}}
 	ended := make(map[*Engine]bool)
--- a/lab/standin/regions_test.go
+++ b/lab/standin/regions_test.go
@@ -42,7 +42,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is, s := is.New(t), NewSite(t)
-			s.AdjustConfig = func(c *config.Router) {
+			s.AdjustConfig = func(c *config.RouterNode) {
 				c.Regions = map[string]string{"zone-0": "north", "zone-1": "south", "zone-2": "east"}
 			}
 			s.Configure(confine(tt.route, tt.workspace))
--- a/lab/standin/site.go
+++ b/lab/standin/site.go
@@ -54,7 +54,7 @@
 	Nodes   []*Node
 	// AdjustConfig changes the configuration of each node before it starts. WrapDialect wraps
 	// its dialect, the encoding of messages to callers and engines. Each may be nil.
-	AdjustConfig func(*config.Router)
+	AdjustConfig func(*config.RouterNode)
 	WrapDialect  func(router.Dialect) router.Dialect
 
 	version int
@@ -65,7 +65,7 @@
 
 // Node is a router node of the site.
 type Node struct {
-	Config *config.Router
+	Config *config.RouterNode
 	Logs   *Logs
 	kernel *kernel.Kernel
 	once   sync.Once
@@ -178,10 +178,10 @@
 		peers[j] = net.JoinHostPort(nodeIP(j), strconv.Itoa(s.peerPort))
 	}
 	ip := nodeIP(i)
-	cfg := &config.Router{
+	cfg := &config.RouterNode{
 		NodeID: fmt.Sprint("node-", i), Region: "region", FailureDomain: fmt.Sprint("zone-", i%3),
 		Listen: FreeAddr(s.T, ip), ReadyListen: FreeAddr(s.T, ip), PeerListen: peers[i], Seeds: peers,
-		StoreAddr: s.Store.Addr(), Grace: Grace, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
+		StoreAddr: s.Store.Addr(), ShutdownGrace: Grace, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetryAllowance: 50,
 	}
 	if s.AdjustConfig != nil {
 		s.AdjustConfig(cfg)
@@ -191,7 +191,7 @@
 	}
 	logs := &Logs{}
 	p := platform.NewAdapter("", cfg).Platform(cfg)
-	p.Store = platform.NewStoreFrom(cfg.StoreAddr, ip)
+	p.Store = platform.NewStoreWithLocalIP(cfg.StoreAddr, ip)
 	if s.WrapDialect != nil {
 		p.Dialect = s.WrapDialect(p.Dialect)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -77,19 +77,19 @@
 func provideAdmission(cfg *config.Node, l *log.Logger, reg prometheus.Registerer) *admission.Service {
 	return admission.New(admission.Config{
 		Node: cfg.NodeID, Incarnation: cfg.IncarnationTime.UnixNano(), Region: cfg.Region,
-		Timeout: cfg.AdmissionWait, Resync: cfg.AdmissionResync,
+		Timeout: cfg.AdmissionTimeout, Resync: cfg.AdmissionResync,
 	}, l, reg)
 }
 
 func provideOrders(cfg *config.Node, st store.Store, l *log.Logger, reg prometheus.Registerer) *orders.Service {
-	return orders.NewService(orders.Deps{
+	return orders.NewService(orders.IssuerConfig{
 		Node: cfg.NodeID, Region: cfg.Region, Limits: orders.DefaultLimits(),
 		Store: st, Client: orders.NewHTTPClient(), Metrics: orders.NewMetrics(reg), Log: l, Now: time.Now,
 	}, lease.ConfigFor(cfg.DutyTTL), lease.NewMetrics(reg))
 }
 
 func provideGossip(hub *peer.Hub, mem *membership.Members, l *log.Logger, reg prometheus.Registerer) *gossip.Service {
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Steady, l, reg)
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), clock.Monotonic, l, reg)
 	return gossip.New(guard, hub, mem, l)
 }
 
