--- a/lab/load/answer.go
+++ b/lab/load/answer.go
@@ -14,17 +14,18 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// maxEventBytes bounds one line of a stream.
+// maxEventBytes is the maximum length of one line of a stream.
 const maxEventBytes = 1 << 20
 
-// answer is a whole answer to a chat turn or service call.
+// answer is a complete answer to a chat turn or service call.
 type answer struct {
-	content string
-	cached  int           // prompt tokens from a cache
-	first   time.Duration // time to the first token; 0 if not streamed
-	service service.Answer
+	content    string
+	cached     int           // prompt tokens served from a prefix cache
+	firstToken time.Duration // time to the first token; 0 if not streamed
+	service    service.Answer
 }
 
+// chunk is an unstreamed chat answer, or one event of a streamed one.
 type chunk struct {
 	Choices []struct {
 		Message engine.Message `json:"message"`
@@ -41,8 +42,8 @@
 	} `json:"error"`
 }
 
-// readWhole reads an unstreamed chat answer.
-func readWhole(body io.Reader, _ time.Time) (answer, error) {
+// readUnstreamed reads a chat answer sent as one JSON document.
+func readUnstreamed(body io.Reader, _ time.Time) (answer, error) {
 	var c chunk
 	if err := json.NewDecoder(body).Decode(&c); err != nil {
 		return answer{}, err
@@ -57,7 +58,7 @@
 func readStream(body io.Reader, start time.Time) (answer, error) {
 	var a answer
 	var content strings.Builder
-	pending, lastEvent := "", "" // event IDs: of the event being read, of the last whole one
+	pending, lastEvent := "", "" // IDs of the event being read and of the last complete one
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, maxEventBytes)
 	for sc.Scan() {
@@ -75,13 +76,13 @@
 		}
 		var c chunk
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
-			return answer{}, brokenStream(lastEvent, content.String(), a.first, err)
+			return answer{}, brokenStream(lastEvent, content.String(), a.firstToken, err)
 		}
 		if c.Error != nil {
-			return answer{}, streamFailure(c, content.Len())
+			return answer{}, errorEventFailure(c, content.Len())
 		}
-		if a.first == 0 {
-			a.first = time.Since(start)
+		if a.firstToken == 0 {
+			a.firstToken = time.Since(start)
 		}
 		if len(c.Choices) > 0 {
 			content.WriteString(c.Choices[0].Delta.Content)
@@ -89,29 +90,30 @@
 		a.cached += c.Usage.Details.Cached
 		lastEvent = pending
 	}
-	return answer{}, brokenStream(lastEvent, content.String(), a.first, sc.Err())
+	return answer{}, brokenStream(lastEvent, content.String(), a.firstToken, sc.Err())
 }
 
-// brokenStream is a stream that ended before its [DONE] without a word.
-func brokenStream(lastEvent, content string, first time.Duration, cause error) error {
+// brokenStream returns the failure of a stream that ended without [DONE] and without an error
+// event. It can be resumed if it had a complete event.
+func brokenStream(lastEvent, content string, firstToken time.Duration, cause error) error {
 	f := &failure{ran: problem.MayHaveRun, cause: errors.Newf("stream ended early: %v", cause)}
 	if lastEvent != "" {
-		f.partial = &partial{lastEvent: lastEvent, content: content, first: first}
+		f.partial = &partial{lastEvent: lastEvent, content: content, firstToken: firstToken}
 	}
 	return f
 }
 
-// streamFailure is an error event; after the first token it can't mean that
-// nothing was run.
-func streamFailure(c chunk, delivered int) error {
-	f := &failure{told: true, ran: c.Error.Ran, cause: errors.Newf("stream error: %s", c.Error.Message)}
+// errorEventFailure returns the failure reported by an error event. It is never "not run" once
+// content was delivered, since the request has then run.
+func errorEventFailure(c chunk, delivered int) error {
+	f := &failure{reported: true, ran: c.Error.Ran, cause: errors.Newf("stream error: %s", c.Error.Message)}
 	if f.ran == "" || delivered > 0 {
 		f.ran = problem.MayHaveRun
 	}
 	return f
 }
 
-// readService reads the answer of a plain service.
+// readService reads the answer of a plain service, one that serves no model.
 func readService(body io.Reader, _ time.Time) (answer, error) {
 	var a answer
 	err := json.NewDecoder(body).Decode(&a.service)
--- a/lab/load/balancer.go
+++ b/lab/load/balancer.go
@@ -13,8 +13,8 @@
 	probeTimeout  = time.Second
 )
 
-// balancer picks nodes as the platform's balancer does: those whose /readyz
-// answered 200 at the last probe.
+// balancer picks among the nodes whose /readyz answered 200 to the last probe, as the platform's
+// load balancer does. It treats a node as up until its first failed probe.
 type balancer struct {
 	nodes  []string
 	client *http.Client
@@ -31,7 +31,7 @@
 	}
 }
 
-// pick draws a node among those that are up, or among all if none is.
+// pick returns a random node among those that are up, or among all nodes if none is up.
 func (b *balancer) pick(rng *rand.Rand) string {
 	draw := rng.Uint64()
 	b.mu.Lock()
@@ -48,7 +48,7 @@
 	return up[draw%uint64(len(up))]
 }
 
-// run probes every node until ctx ends.
+// run probes every node until ctx is done.
 func (b *balancer) run(ctx context.Context) {
 	var probes sync.WaitGroup
 	for _, node := range b.nodes {
--- a/lab/load/config.go
+++ b/lab/load/config.go
@@ -7,62 +7,62 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config says what to send.
+// Config sets what the load consists of.
 type Config struct {
 	Nodes     []string // URLs of nodes
-	Engines   []string // URLs of engines, asked for their counts
-	Services  []string // URLs of plain services, asked for their counts
-	Keys      []string // API keys, one a workspace
+	Engines   []string // URLs of engines, queried for their run counts and load
+	Services  []string // URLs of plain services, queried for their run counts
+	Keys      []string // API keys, one per workspace
 	Model     string
-	Service   string // plain service to call after each turn; "" for none
-	Chats     int    // chats at a time
-	Turns     int    // turns of each chat
+	Service   string // plain service (no model) to call after each turn; "" for none
+	Chats     int    // number of concurrent chats
+	Turns     int    // turns per chat
 	MaxTokens int
 	Think     time.Duration // mean pause between turns
 	Seed      uint64
 
-	Emergency float64 // share of chats at urgency 0
-	Batch     float64 // share of chats at urgency 7
-	Notices   float64 // share of service calls that may not be repeated
-	Resend    float64 // share of notices sent twice at once through two nodes
+	Emergency float64 // share of chats with urgency 0
+	Batch     float64 // share of chats with urgency 7
+	Notices   float64 // share of service calls that are notices: not repeatable, with an idempotency key
+	Resend    float64 // share of notices sent twice concurrently, each copy through a random node
 
-	// SurgeWorkspaces of the workspaces have SurgeFactor times the chats of
-	// each other one.
+	// The first SurgeWorkspaces workspaces are drawn for SurgeFactor times as many chats as any
+	// other workspace; 0 for no surge.
 	SurgeWorkspaces int
 	SurgeFactor     int
 
-	// MaxTries is how often a caller asks before giving up. It asks again
-	// only if it was told that the request was not run, or with the same
-	// idempotency key, after Retry-After but no later than MaxRetryAfter.
+	// MaxTries is the maximum number of tries of a request. A caller retries only if the request
+	// was reported as not run, to resume a stream, or with the same idempotency key (see
+	// UnderFaults for more). It waits for Retry-After, but at most MaxRetryAfter plus a jitter.
 	MaxTries      int
 	MaxRetryAfter time.Duration
-	// Window is the time between samples of the engines' load.
+	// Window is the interval between samples of the engines' load.
 	Window time.Duration
-	// UnderFaults says that targets fail: a chat turn or a read that runs
-	// again counts as repeated, not as doubled, and a request may fail if its
-	// caller is told so.
+	// UnderFaults is set if targets fail during the run. A chat turn or a read that runs more than
+	// once then counts as Repeated instead of Doubled, and may be retried after a broken
+	// connection; a request may fail if an error is reported to its caller.
 	UnderFaults bool
 }
 
-// Validate reports the first fault of a configuration.
+// Validate returns an error for the first invalid setting; it names the flag.
 func (c Config) Validate() error {
 	share := func(f float64) bool { return f >= 0 && f <= 1 }
 	switch {
 	case len(c.Nodes) == 0:
 		return errors.New("--nodes is empty: list the URLs of nodes")
 	case len(c.Keys) == 0:
-		return errors.New("--keys is empty: list one API key a workspace")
+		return errors.New("--keys is empty: list one API key per workspace")
 	case !share(c.Emergency), !share(c.Batch), !share(c.Emergency + c.Batch), !share(c.Notices), !share(c.Resend):
-		return errors.New("a share is not between 0 and 1: mend --emergency, --batch, --notices or --resend")
+		return errors.New("a share is not between 0 and 1: correct --emergency, --batch, --notices or --resend")
 	case c.SurgeWorkspaces > len(c.Keys) || c.SurgeWorkspaces > 0 && c.SurgeFactor < 1:
-		return errors.New("--surge is more than the workspaces, or --surge-factor under 1")
+		return errors.New("--surge exceeds the number of workspaces, or --surge-factor is less than 1")
 	case c.MaxTries < 1 || c.Window <= 0:
-		return errors.New("--max-tries is under 1, or --window is not positive")
+		return errors.New("--max-tries is less than 1, or --window is not positive")
 	}
 	return nil
 }
 
-// urgency is the urgency of RFC 9218, from 0 to 7.
+// urgency is the urgency of RFC 9218, from 0 (highest) to 7.
 type urgency int
 
 const (
@@ -71,7 +71,7 @@
 	urgencyBatch     urgency = 7
 )
 
-// chatPlan is what a chat draws at its start; the same seed draws the same.
+// chatPlan holds the random choices of one chat; the same seed gives the same choices.
 type chatPlan struct {
 	number    int
 	workspace int // index of its API key
@@ -79,6 +79,7 @@
 	rng       *rand.Rand
 }
 
+// plan returns the plan of chat n.
 func (c Config) plan(n int) chatPlan {
 	rng := rand.New(rand.NewPCG(c.Seed, uint64(n)))
 	return chatPlan{
@@ -88,12 +89,14 @@
 	}
 }
 
-// workspaceWeight returns the weight of the first n workspaces.
+// workspaceWeight returns the sum of the weights of the first n workspaces: SurgeFactor for a
+// surging one, 1 for any other.
 func (c Config) workspaceWeight(n int) int {
 	surging := min(n, c.SurgeWorkspaces)
 	return n + surging*(c.SurgeFactor-1)
 }
 
+// drawWorkspace maps a draw below the total weight to a workspace.
 func (c Config) drawWorkspace(draw int) int {
 	for n := range c.Keys {
 		if draw < c.workspaceWeight(n+1) {
@@ -114,21 +117,21 @@
 	}
 }
 
-// classesOf returns the classes that a chat's latencies belong to.
+// classesOf returns the classes under which a chat's latencies are recorded.
 func (c Config) classesOf(p chatPlan) []class {
-	of := []class{classNormal}
+	chatClasses := []class{classNormal}
 	switch p.urgency {
 	case urgencyEmergency:
-		of[0] = classEmergency
+		chatClasses[0] = classEmergency
 	case urgencyBatch:
-		of[0] = classBatch
+		chatClasses[0] = classBatch
 	}
 	switch {
 	case c.SurgeWorkspaces == 0:
-		return of
+		return chatClasses
 	case p.workspace < c.SurgeWorkspaces:
-		return append(of, classSurging)
+		return append(chatClasses, classSurging)
 	default:
-		return append(of, classOther)
+		return append(chatClasses, classOther)
 	}
 }
--- a/lab/load/ledger.go
+++ b/lab/load/ledger.go
@@ -11,38 +11,37 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// kind is what a request asks for.
+// kind is the kind of a request.
 type kind uint8
 
 const (
-	kindChat   kind = iota
-	kindRead        // call of a plain service that may be repeated
-	kindNotice      // call of a plain service that may not be repeated
+	kindChat   kind = iota // chat turn
+	kindRead               // repeatable call of a plain service
+	kindNotice             // call of a plain service that must not run twice
 )
 
-// attempt is one HTTP request of a caller: what it was told, and how often
+// attempt is one HTTP request of a caller, with what was reported to the caller and how often
 // the targets ran it.
 type attempt struct {
-	kind      kind
-	toldNoRun bool
-	runs      uint8
+	kind           kind
+	reportedNotRun bool
+	runs           uint8
 }
 
-// ledger numbers the attempts and idempotency keys of one run and compares
-// what callers were told with what the targets ran. It takes a few bytes an
-// attempt.
+// ledger numbers the attempts and idempotency keys of one run, and compares what was reported to
+// callers with what the targets ran. It needs a few bytes per attempt.
 type ledger struct {
-	prefix string // distinguishes this run's IDs from those of others
+	prefix string // distinguishes the IDs of this run from those of other runs
 
 	mu       sync.Mutex
 	attempts []attempt
-	keyRuns  []uint8
+	keyRuns  []uint8 // runs per idempotency key
 }
 
 func newLedger() *ledger { return &ledger{prefix: uuid.NewString()} }
 
-// attempt returns the number and request ID of a new attempt.
-func (l *ledger) attempt(k kind) (int, string) {
+// newAttempt adds an attempt and returns its number and request ID.
+func (l *ledger) newAttempt(k kind) (int, string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts = append(l.attempts, attempt{kind: k})
@@ -50,22 +49,22 @@
 	return n, fmt.Sprintf("%s-%d", l.prefix, n)
 }
 
-// key returns a new idempotency key.
-func (l *ledger) key() string {
+// newKey adds an idempotency key and returns it.
+func (l *ledger) newKey() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keyRuns = append(l.keyRuns, 0)
 	return fmt.Sprintf("%s-%d", l.prefix, len(l.keyRuns)-1)
 }
 
-// told records what the caller of an attempt was told.
-func (l *ledger) told(n int, ran problem.Execution) {
+// recordExecution records what was reported to the caller of attempt n.
+func (l *ledger) recordExecution(n int, ran problem.Execution) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.attempts[n].toldNoRun = ran == problem.NotRun
+	l.attempts[n].reportedNotRun = ran == problem.NotRun
 }
 
-// number returns the number in an ID of this run.
+// number returns the number in an ID; it is false unless the ID is one of this run below limit.
 func (l *ledger) number(id string, limit int) (int, bool) {
 	rest, ok := strings.CutPrefix(id, l.prefix+"-")
 	if !ok {
@@ -75,8 +74,8 @@
 	return n, err == nil && n >= 0 && n < limit
 }
 
-// ranRequests adds what one target ran, by request ID.
-func (l *ledger) ranRequests(runs map[string]int) {
+// addRequestRuns adds the runs of one target by request ID.
+func (l *ledger) addRequestRuns(runs map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, count := range runs {
@@ -86,8 +85,8 @@
 	}
 }
 
-// ranKeys adds what one target ran, by idempotency key.
-func (l *ledger) ranKeys(runs map[string]int) {
+// addKeyRuns adds the runs of one target by idempotency key.
+func (l *ledger) addKeyRuns(runs map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, count := range runs {
@@ -97,37 +96,40 @@
 	}
 }
 
+// addRuns adds count to runs and saturates at 255.
 func addRuns(runs uint8, count int) uint8 {
-	const most = 255
-	return uint8(min(most, int(runs)+count))
+	const maxRuns = 255
+	return uint8(min(maxRuns, int(runs)+count))
 }
 
-// verdict is what the comparison found.
-type verdict struct {
-	doubled     int // runs after the first of a request or key
-	repeated    int // the same of repeatable requests, where allowed
-	falseNotRun int // attempts told "not run" that were run
+// runCounts holds the result of the comparison.
+type runCounts struct {
+	doubled     int // disallowed runs after the first, by request ID or by idempotency key
+	repeated    int // runs of repeatable requests after the first, if they are allowed
+	falseNotRun int // attempts reported as not run that were run
 }
 
-func (l *ledger) verdict(mayRepeat bool) verdict {
+// countRuns compares the reports with the runs. With mayRepeat, repeatable requests may run more
+// than once.
+func (l *ledger) countRuns(mayRepeat bool) runCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var v verdict
+	var c runCounts
 	for _, a := range l.attempts {
 		again := max(0, int(a.runs)-1)
 		switch {
-		case a.kind == kindNotice: // counted by its key
+		case a.kind == kindNotice: // counted by its idempotency key
 		case mayRepeat:
-			v.repeated += again
+			c.repeated += again
 		default:
-			v.doubled += again
+			c.doubled += again
 		}
-		if a.toldNoRun && a.runs > 0 {
-			v.falseNotRun++
+		if a.reportedNotRun && a.runs > 0 {
+			c.falseNotRun++
 		}
 	}
 	for _, runs := range l.keyRuns {
-		v.doubled += max(0, int(runs)-1)
+		c.doubled += max(0, int(runs)-1)
 	}
-	return v
+	return c
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,10 @@
-// Package load sends returning chats and service calls through the nodes and
-// checks that each caller gets its own answer, whole and once, and that what
-// it was told is what the targets ran.
+// Package load is a load generator. It sends chats of several turns and calls of plain services
+// (targets that serve no model) through the nodes. It checks that each caller gets the complete
+// answer to its request, that no request runs more often than it may, and that a request that was
+// reported as not run was not run by any target.
+//
+// A call of a plain service is a read, which is repeatable, or a notice, which must not run twice
+// and has an idempotency key. A whole answer is a complete one that belongs to the request.
 package load
 
 import (
@@ -18,10 +22,10 @@
 	"github.com/knapweedgw/knapweedgw/lab/engine"
 )
 
-// systemWords is the length of each chat's system prompt.
+// systemWords is the length of each chat's system prompt in words.
 const systemWords = 50
 
-// Runner sends the load.
+// Runner sends the load of one run.
 type Runner struct {
 	cfg      Config
 	client   *http.Client
@@ -32,7 +36,7 @@
 	result Result
 }
 
-// New returns a runner.
+// New returns a Runner for one run of cfg.
 func New(cfg Config) *Runner {
 	return &Runner{
 		cfg:    cfg,
@@ -42,7 +46,8 @@
 	}
 }
 
-// Run sends every chat to its end and returns the result.
+// Run sends all chats and returns the result. It returns an error if the configuration is invalid,
+// ctx is done before the end, or a target's run counts can't be fetched.
 func (r *Runner) Run(ctx context.Context) (Result, error) {
 	if err := r.cfg.Validate(); err != nil {
 		return r.result, err
@@ -69,15 +74,16 @@
 	return r.settle(ctx)
 }
 
-// chat plays one chat: its turns, each followed by a service call and a pause.
+// chat sends the turns of one chat, each followed by a service call, if configured, and a random
+// pause with mean Think. It ends at the first turn without a whole answer.
 func (r *Runner) chat(ctx context.Context, p chatPlan) {
 	id := fmt.Sprintf("chat-%d", p.number)
 	messages := []engine.Message{{Role: "system", Content: strings.Repeat(id+" ", systemWords)}}
 	for turn := range r.cfg.Turns {
-		known := messages
+		previous := messages
 		question := engine.Message{Role: "user", Content: fmt.Sprintf("%s turn %d", id, turn)}
 		messages = append(messages, question)
-		reply, ok := r.turn(ctx, p, id, turn, messages, known)
+		reply, ok := r.turn(ctx, p, id, turn, messages, previous)
 		if !ok {
 			return
 		}
@@ -85,79 +91,82 @@
 		if r.cfg.Service != "" {
 			r.service(ctx, p, turn)
 		}
-		pause(ctx, time.Duration(p.rng.ExpFloat64()*float64(r.cfg.Think)))
+		sleep(ctx, time.Duration(p.rng.ExpFloat64()*float64(r.cfg.Think)))
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// turn asks for the next answer; known is the part of the messages that an
-// engine may hold.
-func (r *Runner) turn(ctx context.Context, p chatPlan, id string, turn int, messages, known []engine.Message) (string, bool) {
+// turn requests the answer to the last message and returns it; it is false unless the answer is
+// whole. previous is the part of messages that an engine may have in its prefix cache.
+func (r *Runner) turn(ctx context.Context, p chatPlan, id string, turn int, messages, previous []engine.Message) (string, bool) {
 	stream := turn%2 == 0
 	body, _ := json.Marshal(engine.ChatRequest{
 		Model: r.cfg.Model, Messages: messages, Stream: stream, MaxTokens: r.cfg.MaxTokens,
 	})
 	req := request{
 		kind: kindChat, method: http.MethodPost, path: "/v1/chat/completions", body: body,
-		apiKey: r.cfg.Keys[p.workspace], chatID: id, urgency: p.urgency, read: readWhole,
+		apiKey: r.cfg.Keys[p.workspace], chatID: id, urgency: p.urgency, read: readUnstreamed,
 	}
 	if stream {
 		req.read = readStream
 	}
 	start := time.Now()
 	a, fail := r.send(ctx, p.rng, req)
-	own := a.content == strings.Join(engine.Answer(messages, r.cfg.MaxTokens), "")
+	correct := a.content == strings.Join(engine.Answer(messages, r.cfg.MaxTokens), "")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.result.add(fail, own) != outcomeWhole {
+	if r.result.add(fail, correct) != outcomeWhole {
 		return "", false
 	}
-	r.result.latency(r.cfg.classesOf(p), a.first, time.Since(start))
+	r.result.recordLatency(r.cfg.classesOf(p), a.firstToken, time.Since(start))
 	if turn > 0 {
-		could := engine.PromptTokens(known)
-		r.result.CouldReuse += could
-		r.result.Reused += min(a.cached, could)
+		reusable := engine.PromptTokens(previous)
+		r.result.Reusable += reusable
+		r.result.Reused += min(a.cached, reusable)
 	}
 	return a.content, true
 }
 
-// service calls the plain service: a read, or a notice that may not be
-// repeated, sent with an idempotency key.
+// service sends one call of the plain service: a read, or a notice with an idempotency key. A share
+// of the notices is sent twice concurrently with the same key.
 func (r *Runner) service(ctx context.Context, p chatPlan, turn int) {
 	req := request{
 		kind: kindRead, method: http.MethodGet, apiKey: r.cfg.Keys[p.workspace], urgency: p.urgency, read: readService,
 	}
 	target := fmt.Sprintf("/works/%d-%d", p.number, turn)
-	resend := false
+	duplicate := false
 	if p.rng.Float64() < r.cfg.Notices {
-		req.kind, req.method, req.key = kindNotice, http.MethodPost, r.ledger.key()
+		req.kind, req.method, req.key = kindNotice, http.MethodPost, r.ledger.newKey()
 		req.body = []byte(`{"kind":"household notice"}`)
 		target = fmt.Sprintf("/notices/%d-%d", p.number, turn)
-		resend = p.rng.Float64() < r.cfg.Resend
+		duplicate = p.rng.Float64() < r.cfg.Resend
 	}
 	req.path = "/services/" + r.cfg.Service + target
-	if !resend {
+	if !duplicate {
 		r.callService(ctx, p.rng, req, target)
 		return
 	}
-	var twice sync.WaitGroup
+	var copies sync.WaitGroup
 	for range 2 {
 		rng := rand.New(rand.NewPCG(p.rng.Uint64(), p.rng.Uint64()))
-		twice.Go(func() { r.callService(ctx, rng, req, target) })
+		copies.Go(func() { r.callService(ctx, rng, req, target) })
 	}
-	twice.Wait()
+	copies.Wait()
 }
 
+// callService sends a service call and counts it. The answer is correct if it names the same method
+// and target.
 func (r *Runner) callService(ctx context.Context, rng *rand.Rand, req request, target string) {
 	a, fail := r.send(ctx, rng, req)
-	own := strings.HasSuffix(a.service.Path, target) && a.service.Method == req.method
+	correct := strings.HasSuffix(a.service.Path, target) && a.service.Method == req.method
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.add(fail, own)
+	r.result.add(fail, correct)
 }
 
+// countRetry counts a failed try that is retried.
 func (r *Runner) countRetry(f *failure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -22,24 +22,24 @@
 	"github.com/knapweedgw/knapweedgw/problem"
 )
 
-// fleet answers as a node and its targets would, with one fault.
-type fleet struct {
+// fakeFleet is the HTTP handler of a node and its targets, with one fault.
+type fakeFleet struct {
 	fault string
 
 	mu    sync.Mutex
-	seen  map[string]int // attempts by what stays the same over tries
+	tries map[string]int // tries by what identifies a request over its tries
 	chats map[string]int // runs by request ID
-	calls service.Runs
+	calls service.Runs   // runs of service calls
 }
 
-func newFleet(fault string) *fleet {
-	return &fleet{
-		fault: fault, seen: map[string]int{}, chats: map[string]int{},
+func newFakeFleet(fault string) *fakeFleet {
+	return &fakeFleet{
+		fault: fault, tries: map[string]int{}, chats: map[string]int{},
 		calls: service.Runs{ByRequest: map[string]int{}, ByKey: map[string]int{}},
 	}
 }
 
-func (f *fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -56,13 +56,13 @@
 	}
 }
 
-// once is true at the first attempt of something.
-func (f *fleet) once(what string) bool {
-	f.seen[what]++
-	return f.seen[what] == 1
+// firstTry counts a try of the identified request and reports whether it is the first.
+func (f *fakeFleet) firstTry(request string) bool {
+	f.tries[request]++
+	return f.tries[request] == 1
 }
 
-func (f *fleet) serveService(w http.ResponseWriter, r *http.Request) {
+func (f *fakeFleet) serveService(w http.ResponseWriter, r *http.Request) {
 	id, key := r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")
 	run := func() {
 		f.calls.ByRequest[id]++
@@ -70,7 +70,7 @@
 			f.calls.ByKey[key]++
 		}
 	}
-	first := f.once(r.Method + r.URL.Path)
+	first := f.firstTry(r.Method + r.URL.Path)
 	switch {
 	case f.fault == "notice told unknown, run again" && key != "" && first:
 		run()
@@ -83,18 +83,18 @@
 	case f.fault == "notice unknown is final" && key != "":
 		problem.New(problem.ClaimUnknown, problem.MayHaveRun, "").Write(w)
 		return
-	case f.fault == "answer crossed":
+	case f.fault == "answer of another call":
 		r.URL.Path = "/services/s/works/other"
 	}
 	run()
 	_ = json.NewEncoder(w).Encode(service.Answer{Method: r.Method, Path: r.URL.Path})
 }
 
-func (f *fleet) serveChat(w http.ResponseWriter, r *http.Request) {
+func (f *fakeFleet) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req engine.ChatRequest
 	_ = json.NewDecoder(r.Body).Decode(&req)
 	id := r.Header.Get("X-Request-Id")
-	first := f.once(fmt.Sprint(len(req.Messages)))
+	first := f.firstTry(fmt.Sprint(len(req.Messages)))
 	switch {
 	case f.fault == "refused once" && first:
 		problem.New(problem.Saturated, problem.NotRun, "").Write(w)
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestVerdicts checks that each fault of a fleet shows in the result.
-func TestVerdicts(t *testing.T) {
+// TestFaultsShowInResult checks that the result counts each fault of the nodes or targets.
+func TestFaultsShowInResult(t *testing.T) {
 	type counts struct{ requests, whole, refused, failed, lost, unanswered, wrong, retries, doubled, falseNotRun int }
 	tests := map[string]counts{
 		"":                               {requests: 4, whole: 4},
@@ -149,10 +149,10 @@
 		"refused always":                 {requests: 1, refused: 1, retries: 2},
 		"told not run, but run":          {requests: 4, whole: 4, retries: 2, falseNotRun: 2},
 		"run twice":                      {requests: 4, whole: 4, doubled: 2},
-		"stream broken":                  {requests: 4, whole: 4, retries: 1}, // the rest is asked for
+		"stream broken":                  {requests: 4, whole: 4, retries: 1}, // the stream is resumed
 		"stream cut":                     {requests: 1, lost: 1, retries: 2},
-		"stream error":                   {requests: 1, failed: 1}, // "not run" after tokens is no proof
-		"answer crossed":                 {requests: 4, whole: 2, wrong: 2},
+		"stream error":                   {requests: 1, failed: 1}, // "not run" is ignored after delivered tokens
+		"answer of another call":         {requests: 4, whole: 2, wrong: 2},
 		"notice told unknown, run again": {requests: 4, whole: 4, retries: 2, doubled: 2},
 		"notice run, answer gone":        {requests: 4, whole: 2, unanswered: 2},
 		"notice unknown is final":        {requests: 4, whole: 2, unanswered: 2},
@@ -160,7 +160,7 @@
 	for fault, want := range tests {
 		t.Run(fault, func(t *testing.T) {
 			is := is.New(t)
-			srv := httptest.NewServer(newFleet(fault))
+			srv := httptest.NewServer(newFakeFleet(fault))
 			defer srv.Close()
 			res, err := New(Config{
 				Nodes: []string{srv.URL}, Engines: []string{srv.URL + "/engine"}, Services: []string{srv.URL + "/service"},
@@ -182,18 +182,18 @@
 	is := is.New(t)
 	l := newLedger()
 	for _, k := range []kind{kindChat, kindRead, kindNotice} {
-		_, id := l.attempt(k)
-		l.ranRequests(map[string]int{id: 1})
-		l.ranRequests(map[string]int{id: 1}) // at another target
+		_, id := l.newAttempt(k)
+		l.addRequestRuns(map[string]int{id: 1})
+		l.addRequestRuns(map[string]int{id: 1}) // the same request at another target
 	}
-	key := l.key()
-	l.ranKeys(map[string]int{key: 1})
-	l.ranKeys(map[string]int{key: 2, "another-0": 5})
-	is.Equal(l.verdict(true), verdict{doubled: 2, repeated: 2})
-	is.Equal(l.verdict(false), verdict{doubled: 4})
+	key := l.newKey()
+	l.addKeyRuns(map[string]int{key: 1})
+	l.addKeyRuns(map[string]int{key: 2, "another-0": 5})
+	is.Equal(l.countRuns(true), runCounts{doubled: 2, repeated: 2})
+	is.Equal(l.countRuns(false), runCounts{doubled: 4})
 }
 
-func TestBalancerLeavesOutNodesThatArentReady(t *testing.T) {
+func TestBalancerSkipsNodesThatArentReady(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := newBalancer([]string{"a", "b", "c"})
@@ -203,7 +203,7 @@
 	}
 	b.set("a", false)
 	b.set("c", false)
-	is.True(b.pick(rng) != "") // any, if none is ready
+	is.True(b.pick(rng) != "") // any node if none is ready
 	b.set("b", true)
 	is.Equal(b.pick(rng), "b")
 
@@ -231,18 +231,19 @@
 	is.Equal(res.Retries, 1)
 }
 
-// A client library sends what it takes for repeatable again by itself. If the
-// second connection is refused, the first may have run the request.
-func TestRefusedConnectionBehindASentRequestIsUnknown(t *testing.T) {
+// Guards against counting a request as not run because its last dial was refused. net/http resends
+// a request that it considers idempotent after a reused connection ends. If the second connection
+// is refused, the target may have run the request received on the first.
+func TestRefusedResendIsUnknown(t *testing.T) {
 	is := is.New(t)
-	var asked atomic.Int64
+	var received atomic.Int64
 	srv := httptest.NewUnstartedServer(nil)
 	listener := srv.Listener
 	srv.Config.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		if asked.Add(1) == 1 {
-			return // a connection to keep
+		if received.Add(1) == 1 {
+			return // the connection stays open for reuse
 		}
-		_ = listener.Close() // fails only if it is closed
+		_ = listener.Close() // fails only if it is closed already
 		panic(http.ErrAbortHandler)
 	})
 	srv.Start()
@@ -255,6 +256,6 @@
 	is.True(fail == nil)
 	_, fail = r.do(context.Background(), srv.URL, "id-2", req)
 	is.True(fail != nil)
-	is.Equal(asked.Load(), int64(2))
+	is.Equal(received.Load(), int64(2))
 	is.Equal(fail.ran, problem.MayHaveRun)
 }
--- a/lab/load/plan_test.go
+++ b/lab/load/plan_test.go
@@ -25,13 +25,13 @@
 		workspaces[p.workspace]++
 		urgencies[p.urgency]++
 	}
-	near := func(got int, share float64) { is.True(math.Abs(float64(got)/chats-share) < 0.02) }
-	near(workspaces[0], 10.0/13)
+	checkShare := func(got int, share float64) { is.True(math.Abs(float64(got)/chats-share) < 0.02) }
+	checkShare(workspaces[0], 10.0/13)
 	for ws := 1; ws < 4; ws++ {
-		near(workspaces[ws], 1.0/13)
+		checkShare(workspaces[ws], 1.0/13)
 	}
-	near(urgencies[urgencyEmergency], 0.1)
-	near(urgencies[urgencyBatch], 0.3)
+	checkShare(urgencies[urgencyEmergency], 0.1)
+	checkShare(urgencies[urgencyBatch], 0.3)
 }
 
 func TestValidateNamesTheFlag(t *testing.T) {
@@ -67,7 +67,7 @@
 		{0, []float64{50, 50}},
 		{1, []float64{54, 50}}, // skew 2 for 1 s
 		{4, []float64{57, 53}}, // skew 1 for 3 s
-		{5, []float64{57, 54}}, // below one request an engine
+		{5, []float64{57, 54}}, // below one request per engine
 		{6, []float64{57, 54}}, // idle
 	}
 	var m skewMeter
@@ -76,16 +76,16 @@
 	}
 	is.Equal(m.mean(), (2.0*1+1*3)/4)
 	is.Equal(m.worst, 2.0)
-	is.Equal(m.total(), 7.0*2/11) // of the whole run as one window
+	is.Equal(m.total(), 7.0*2/11) // the whole run as one window
 }
 
 func TestResultRows(t *testing.T) {
 	is := is.New(t)
 	r := newResult()
 	r.add(nil, true)
-	r.CouldReuse, r.Reused = 200, 150
+	r.Reusable, r.Reused = 200, 150
 	surge := Config{SurgeWorkspaces: 1}
-	r.latency(surge.classesOf(chatPlan{urgency: urgencyBatch, workspace: 1}), 20*time.Millisecond, time.Second)
+	r.recordLatency(surge.classesOf(chatPlan{urgency: urgencyBatch, workspace: 1}), 20*time.Millisecond, time.Second)
 	is.Equal(surge.classesOf(chatPlan{urgency: urgencyEmergency}), []class{classEmergency, classSurging})
 	is.Equal(Config{}.classesOf(chatPlan{urgency: urgencyNormal}), []class{classNormal})
 	var table, lines bytes.Buffer
--- a/lab/load/settle.go
+++ b/lab/load/settle.go
@@ -10,28 +10,30 @@
 	"github.com/knapweedgw/knapweedgw/lab/service"
 )
 
-// settle asks the targets what they ran and completes the result.
+// settle fetches the run counts of all targets and adds the figures that depend on them to the
+// result.
 func (r *Runner) settle(ctx context.Context) (Result, error) {
 	for _, url := range r.cfg.Engines {
 		var runs map[string]int
 		if err := r.get(ctx, url+"/lab/runs", &runs); err != nil {
 			return r.result, err
 		}
-		r.ledger.ranRequests(runs)
+		r.ledger.addRequestRuns(runs)
 	}
 	for _, url := range r.cfg.Services {
 		var runs service.Runs
 		if err := r.get(ctx, url+"/lab/runs", &runs); err != nil {
 			return r.result, err
 		}
-		r.ledger.ranRequests(runs.ByRequest)
-		r.ledger.ranKeys(runs.ByKey)
+		r.ledger.addRequestRuns(runs.ByRequest)
+		r.ledger.addKeyRuns(runs.ByKey)
 	}
-	v := r.ledger.verdict(r.cfg.UnderFaults)
-	r.result.Doubled, r.result.Repeated, r.result.FalseNotRun = v.doubled, v.repeated, v.falseNotRun
+	c := r.ledger.countRuns(r.cfg.UnderFaults)
+	r.result.Doubled, r.result.Repeated, r.result.FalseNotRun = c.doubled, c.repeated, c.falseNotRun
 	return r.result, nil
 }
 
+// get fetches a JSON document into v.
 func (r *Runner) get(ctx context.Context, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -39,7 +41,7 @@
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "ask target")
+		return errors.Wrap(err, "request target")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return errors.Wrap(json.NewDecoder(resp.Body).Decode(v), url)
--- a/lab/load/skew.go
+++ b/lab/load/skew.go
@@ -8,22 +8,22 @@
 	"github.com/knapweedgw/knapweedgw/lab/engine"
 )
 
-// minMeanLoad is the load an engine, in requests, below which a window doesn't
-// count: a single request would make the skew there.
+// minMeanLoad is the mean load per engine, in concurrent requests, below which a window is ignored:
+// in such a window a single request would determine the skew.
 const minMeanLoad = 1
 
-// skewMeter compares the engines' loads window by window. A window's skew is
-// the busiest engine's request-seconds over the mean; the run's is the mean of
-// the windows, weighed by their length.
+// skewMeter compares the loads of the engines per window, the time between two samples. A window's
+// skew is the request-seconds of the busiest engine divided by the mean of all engines; the skew of
+// the run is the mean over its windows, weighted by their length.
 type skewMeter struct {
-	first, last []float64 // request-seconds of each engine since its start
+	first, last []float64 // request-seconds of each engine since its start: first and latest sample
 	at          time.Time // end of the last window
-	sum         float64   // skew times seconds
-	seconds     float64
-	worst       float64
+	sum         float64   // sum of skew times window length in seconds
+	seconds     float64   // total length of the counted windows
+	worst       float64   // highest skew of a counted window
 }
 
-// add ends a window with the engines' request-seconds.
+// add ends a window with a sample of the engines' request-seconds.
 func (m *skewMeter) add(at time.Time, loads []float64) {
 	defer func() { m.last, m.at = loads, at }()
 	if m.first == nil {
@@ -31,16 +31,17 @@
 		return
 	}
 	window := at.Sub(m.at).Seconds()
-	spent := difference(loads, m.last)
-	if sum(spent) < minMeanLoad*window*float64(len(loads)) {
+	windowLoads := difference(loads, m.last)
+	if sum(windowLoads) < minMeanLoad*window*float64(len(loads)) {
 		return
 	}
-	s := maxOverMean(spent)
+	s := maxOverMean(windowLoads)
 	m.sum += s * window
 	m.seconds += window
 	m.worst = max(m.worst, s)
 }
 
+// mean returns the time-weighted mean skew; 0 if no window counts.
 func (m *skewMeter) mean() float64 {
 	if m.seconds == 0 {
 		return 0
@@ -48,9 +49,10 @@
 	return m.sum / m.seconds
 }
 
-// total is the skew of the whole run taken as one window.
+// total returns the skew of the whole run, taken as one window.
 func (m *skewMeter) total() float64 { return maxOverMean(difference(m.last, m.first)) }
 
+// difference returns after - before for each engine.
 func difference(after, before []float64) []float64 {
 	d := make([]float64, len(after))
 	for i := range after {
@@ -67,6 +69,7 @@
 	return total
 }
 
+// maxOverMean returns the highest load divided by the mean load; 0 without load.
 func maxOverMean(loads []float64) float64 {
 	total := sum(loads)
 	if total <= 0 {
@@ -75,8 +78,8 @@
 	return slices.Max(loads) * float64(len(loads)) / total
 }
 
-// sampleSkew samples the engines until ctx ends. A sample that misses an
-// engine is left out, and the next window is longer.
+// sampleSkew samples the engines every Window until ctx is done. A sample in which an engine can't
+// be read is skipped, which makes the next window longer.
 func (r *Runner) sampleSkew(ctx context.Context) skewMeter {
 	var m skewMeter
 	tick := time.NewTicker(r.cfg.Window)
@@ -93,6 +96,7 @@
 	}
 }
 
+// engineLoads returns the request-seconds of each engine since its start.
 func (r *Runner) engineLoads(ctx context.Context) ([]float64, error) {
 	var loads []float64
 	for _, url := range r.cfg.Engines {
