--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment applies a planned sequence of faults to processes that
-// run already: fault switches put to stand-ins, and signals.
+// Package experiment applies a planned sequence of faults to running processes: fault settings sent
+// to stand-ins (the laboratory's servers in place of the platform, engines and plain services), and
+// signals.
 package experiment
 
 import (
@@ -15,6 +16,7 @@
 	"github.com/cockroachdb/errors"
 )
 
+// callTimeout is the timeout of one Put.
 const callTimeout = 5 * time.Second
 
 // Plan is a sequence of faults.
@@ -22,7 +24,7 @@
 	Steps []Step `json:"steps"`
 }
 
-// Step is one fault, a Put or a Signal, at a time after the start.
+// Step is one fault: a Put or a Signal, AfterMS milliseconds after the start.
 type Step struct {
 	AfterMS int     `json:"after_ms"`
 	Name    string  `json:"name"`
@@ -30,31 +32,32 @@
 	Signal  *Signal `json:"signal,omitempty"`
 }
 
-// Put sends Body to URL, a stand-in's /lab/faults or /lab/schedule.
+// Put is a PUT request with Body to URL, a stand-in's /lab/faults or /lab/schedule.
 type Put struct {
 	URL  string          `json:"url"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Signal sends a signal to the processes with the given IDs.
+// Signal is a signal to the processes with the given IDs.
 type Signal struct {
 	PIDs   []int  `json:"pids"`
 	Signal string `json:"signal"` // STOP, CONT, TERM or KILL
 }
 
+// signals maps the names in a plan to the signals.
 var signals = map[string]syscall.Signal{
 	"STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM, "KILL": syscall.SIGKILL,
 }
 
-// Validate reports every fault of a plan at once.
+// Validate returns all errors of a plan, joined.
 func (p Plan) Validate() error {
-	var faults error
+	var errs error
 	for i, s := range p.Steps {
 		if err := s.validate(); err != nil {
-			faults = errors.Join(faults, errors.Wrapf(err, "step %d (%s)", i+1, s.Name))
+			errs = errors.Join(errs, errors.Wrapf(err, "step %d (%s)", i+1, s.Name))
 		}
 	}
-	return faults
+	return errs
 }
 
 func (s Step) validate() error {
@@ -62,48 +65,48 @@
 	case s.AfterMS < 0:
 		return errors.New("after_ms is negative: use 0 or more")
 	case (s.Put == nil) == (s.Signal == nil):
-		return errors.New("give one of put and signal")
+		return errors.New("give one of put and signal, and not both")
 	case s.Put != nil && s.Put.URL == "":
-		return errors.New("put has no url: name a stand-in's /lab/faults")
+		return errors.New("put has no url: give the URL of a stand-in's /lab/faults")
 	case s.Signal != nil:
 		return s.Signal.validate()
 	}
 	return nil
 }
 
-// validate refuses IDs that kill(2) takes for process groups.
+// validate rejects the IDs that kill(2) interprets as process groups, and process 1.
 func (s Signal) validate() error {
 	if _, ok := signals[s.Signal]; !ok {
 		return errors.Newf("signal %q is unknown: use STOP, CONT, TERM or KILL", s.Signal)
 	}
 	if len(s.PIDs) == 0 {
-		return errors.New("signal has no pids: name the processes")
+		return errors.New("signal has no pids: give the IDs of the processes")
 	}
 	for _, pid := range s.PIDs {
 		if pid <= 1 {
-			return errors.Newf("pid %d is not a process of yours: use an ID over 1", pid)
+			return errors.Newf("pid %d is not the ID of a single process to signal: use an ID greater than 1", pid)
 		}
 	}
 	return nil
 }
 
-// Outcome is what came of one step.
+// Outcome is the outcome of one step, written as a JSON line.
 type Outcome struct {
-	AtMS  int64  `json:"at_ms"`
+	AtMS  int64  `json:"at_ms"` // start of the step, in milliseconds after the plan's start
 	Name  string `json:"name"`
 	Error string `json:"error,omitempty"`
 }
 
-// Result is what came of a plan.
+// Result counts the steps that were applied and those of them that failed.
 type Result struct{ Steps, Failed int }
 
-// Summary is the closing line.
+// Summary returns the last line of the output.
 func (r Result) Summary() string {
 	return fmt.Sprintf("experiment: steps=%d failed=%d", r.Steps, r.Failed)
 }
 
-// Run applies the steps in the order of their times, and goes on after one
-// that fails. It ends early with ctx.
+// Run applies the steps in the order of their times, calls report after each, and continues after a
+// step that fails. It returns an error if the plan is invalid or ctx is done before the last step.
 func Run(ctx context.Context, p Plan, report func(Outcome)) (Result, error) {
 	if err := p.Validate(); err != nil {
 		return Result{}, err
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -43,7 +43,7 @@
 	is.Equal(child.ProcessState.Sys().(syscall.WaitStatus).Signal(), syscall.SIGKILL)
 }
 
-func TestValidateNamesEachFault(t *testing.T) {
+func TestValidateReportsEachError(t *testing.T) {
 	put := &Put{URL: "http://127.0.0.1:1/lab/faults"}
 	tests := map[string]Step{
 		"after_ms is negative": {AfterMS: -1, Put: put},
@@ -63,7 +63,7 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	_, err := Run(context.Background(), all, func(Outcome) { t.Fatal("a step of a bad plan ran") })
+	_, err := Run(context.Background(), all, func(Outcome) { t.Fatal("a step of an invalid plan was applied") })
 	for want := range tests {
 		is.New(t).True(strings.Contains(err.Error(), want))
 	}
