--- a/lab/doccheck/anchor_test.go
+++ b/lab/doccheck/anchor_test.go
@@ -9,11 +9,12 @@
 	"unicode"
 )
 
+// heading matches a Markdown heading.
 var heading = regexp.MustCompile(`(?m)^#+ (.+)$`)
 
-// TestAnchorsLead requires that each link to a part of a page names a heading
-// of it.
-func TestAnchorsLead(t *testing.T) {
+// TestLinkAnchorsExist requires that the anchor of each relative link is that of a heading in the
+// linked page.
+func TestLinkAnchorsExist(t *testing.T) {
 	for _, page := range pages(t) {
 		raw, err := os.ReadFile(page)
 		if err != nil {
@@ -21,22 +22,24 @@
 		}
 		for _, m := range link.FindAllStringSubmatch(string(raw), -1) {
 			file, anchor, ok := strings.Cut(m[1], "#")
-			if ok && !strings.Contains(file, ":") && !leads(page, file, anchor) {
-				t.Errorf("%s: link %s leads nowhere", page, m[1])
+			if ok && !strings.Contains(file, ":") && !anchorExists(page, file, anchor) {
+				t.Errorf("%s: link %s has no matching heading", page, m[1])
 			}
 		}
 	}
 }
 
-func leads(page, file, anchor string) bool {
-	dest := page
+// anchorExists reports whether file, relative to page, has the anchor; an empty file is page itself.
+func anchorExists(page, file, anchor string) bool {
+	linked := page
 	if file != "" {
-		dest = filepath.Join(filepath.Dir(page), file)
+		linked = filepath.Join(filepath.Dir(page), file)
 	}
-	raw, err := os.ReadFile(dest)
+	raw, err := os.ReadFile(linked)
 	return err == nil && hasAnchor(string(raw), anchor)
 }
 
+// hasAnchor reports whether a heading of the text has the anchor.
 func hasAnchor(text, anchor string) bool {
 	for _, m := range heading.FindAllStringSubmatch(text, -1) {
 		if slug(m[1]) == anchor {
@@ -46,7 +49,7 @@
 	return false
 }
 
-// slug is the anchor that common Markdown renderers give a heading.
+// slug returns the anchor that common Markdown renderers generate for a heading.
 func slug(heading string) string {
 	var b strings.Builder
 	for _, r := range strings.ToLower(heading) {
--- a/lab/doccheck/doccheck_test.go
+++ b/lab/doccheck/doccheck_test.go
@@ -1,5 +1,6 @@
-// Package doccheck checks that what the pages name is there: files, links,
-// make targets and the programs' commands.
+// Package doccheck tests the repository's Markdown pages: the files, identifiers, links and make
+// targets that they mention must exist, and the operators' page must list every refusal reason,
+// metric and flag.
 package doccheck
 
 import (
@@ -13,6 +14,7 @@
 	"github.com/matryer/is"
 )
 
+// root is the path of the repository's root.
 const root = "../.."
 
 var (
@@ -24,7 +26,7 @@
 	makeTarget = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
 )
 
-// pages returns the paths of all pages from the root.
+// pages returns the paths of all Markdown pages, outside hidden directories.
 func pages(t *testing.T) []string {
 	var paths []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -48,48 +50,50 @@
 	return err == nil
 }
 
-// finding is what a page names and the tree lacks.
-type finding struct{ kind, name string }
+// missing is a reference in a page to something that doesn't exist.
+type missing struct{ kind, name string }
 
-// check returns the faults of one page in the directory dir.
-func check(text, dir string, targets map[string]bool) []finding {
-	var found []finding
+// check returns the references without a destination of one page in the directory dir. targets are
+// the make targets.
+func check(text, dir string, targets map[string]bool) []missing {
+	var refs []missing
 	for _, m := range link.FindAllStringSubmatch(text, -1) {
 		file, _, _ := strings.Cut(m[1], "#")
 		if file != "" && !strings.Contains(file, ":") && !exists(filepath.Join(dir, file)) {
-			found = append(found, finding{"link", m[1]})
+			refs = append(refs, missing{"link", m[1]})
 		}
 	}
 	var code strings.Builder
 	for _, m := range codeSpan.FindAllStringSubmatch(text, -1) {
 		code.WriteString(m[1] + "\n")
-		if namesFile(m[1]) && !there(m[1], dir) {
-			found = append(found, finding{"file", m[1]})
+		if isTreePath(m[1]) && !resolves(m[1], dir) {
+			refs = append(refs, missing{"file", m[1]})
 		}
 	}
 	code.WriteString(blocks(text))
 	for _, m := range makeCall.FindAllStringSubmatch(code.String(), -1) {
 		if !targets[m[1]] {
-			found = append(found, finding{"make target", m[1]})
+			refs = append(refs, missing{"make target", m[1]})
 		}
 	}
-	return found
+	return refs
 }
 
-// there says whether a path is there, from the root or from the page: a file
-// or directory, a bare file name of any directory, or an identifier that the
-// Go files of a directory name ("store/memory.Store").
-func there(path, dir string) bool {
+// resolves reports whether a path exists, relative to the root or to the page: a file or directory,
+// a bare file name in any directory, or an identifier that occurs in the Go files of a directory
+// ("store/memory.Store").
+func resolves(path, dir string) bool {
 	if exists(filepath.Join(root, path)) || exists(filepath.Join(dir, path)) {
 		return true
 	}
 	if m := identifier.FindStringSubmatch(path); m != nil {
-		return identified(filepath.Join(root, m[1]), m[2])
+		return identifierOccurs(filepath.Join(root, m[1]), m[2])
 	}
-	return !strings.Contains(path, "/") && anywhere(path)
+	return !strings.Contains(path, "/") && fileExistsAnywhere(path)
 }
 
-func identified(dir, name string) bool {
+// identifierOccurs reports whether a Go file in dir contains the name.
+func identifierOccurs(dir, name string) bool {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.go"))
 	for _, f := range files {
 		if raw, err := os.ReadFile(f); err == nil && strings.Contains(string(raw), name) {
@@ -99,8 +103,8 @@
 	return false
 }
 
-// anywhere says whether a file of that name is in the tree.
-func anywhere(name string) bool {
+// fileExistsAnywhere reports whether the tree has a file or directory of that name.
+func fileExistsAnywhere(name string) bool {
 	found := false
 	_ = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err == nil && d.Name() == name {
@@ -112,9 +116,9 @@
 	return found
 }
 
-// namesFile says whether a code span is a path of this tree: it has a slash
-// and begins with an entry of the root, or it ends as the tree's files do.
-func namesFile(span string) bool {
+// isTreePath reports whether a code span is meant as a path of this tree: its first part is a
+// directory of the root and a slash follows, or it ends in .go, .md or .sh.
+func isTreePath(span string) bool {
 	if !filePath.MatchString(span) {
 		return false
 	}
@@ -146,6 +150,7 @@
 	return out.String()
 }
 
+// makeTargets returns the targets of the Makefile.
 func makeTargets(t *testing.T) map[string]bool {
 	raw, err := os.ReadFile(filepath.Join(root, "Makefile"))
 	is.New(t).NoErr(err)
@@ -156,35 +161,35 @@
 	return targets
 }
 
-func TestPagesNameWhatExists(t *testing.T) {
+func TestPageReferencesExist(t *testing.T) {
 	targets := makeTargets(t)
 	for _, page := range pages(t) {
 		raw, err := os.ReadFile(page)
 		is.New(t).NoErr(err)
 		for _, f := range check(string(raw), filepath.Dir(page), targets) {
-			t.Errorf("%s names a %s that doesn't exist: %s", page, f.kind, f.name)
+			t.Errorf("%s refers to a %s that doesn't exist: %s", page, f.kind, f.name)
 		}
 	}
 }
 
-func TestCheckFindsFaults(t *testing.T) {
+func TestCheckFindsMissingReferences(t *testing.T) {
 	targets := map[string]bool{"demo": true}
 	tests := map[string]struct {
 		text string
-		want []finding
+		want []missing
 	}{
 		"good link":           {"[a](README.md#x) [b](https://x.org/y.md) [c](#here)", nil},
-		"broken link":         {"[a](none.md)", []finding{{"link", "none.md"}}},
+		"broken link":         {"[a](none.md)", []missing{{"link", "none.md"}}},
 		"good file":           {"`lab/doccheck` `store/README.md` `README.md`", nil},
-		"missing file":        {"`lab/none/x` and `none.go`", []finding{{"file", "lab/none/x"}, {"file", "none.go"}}},
+		"missing file":        {"`lab/none/x` and `none.go`", []missing{{"file", "lab/none/x"}, {"file", "none.go"}}},
 		"bare name":           {"`doccheck_test.go`", nil},
 		"good identifier":     {"`store/memory.Store`", nil},
-		"missing identifier":  {"`store/memory.Shop`", []finding{{"file", "store/memory.Shop"}}},
+		"missing identifier":  {"`store/memory.Shop`", []missing{{"file", "store/memory.Shop"}}},
 		"no file at all":      {"`text/event-stream` `/v3/kv/range` `a b.go`", nil},
 		"good target":         {"`make demo`, make sure\n    make demo # run\n", nil},
-		"missing target":      {"`make dmeo`", []finding{{"make target", "dmeo"}}},
-		"missing in block":    {"    x && make dmeo", []finding{{"make target", "dmeo"}}},
-		"missing in a fence":  {"```\nmake dmeo\n```\n", []finding{{"make target", "dmeo"}}},
+		"missing target":      {"`make dmeo`", []missing{{"make target", "dmeo"}}},
+		"missing in block":    {"    x && make dmeo", []missing{{"make target", "dmeo"}}},
+		"missing in a fence":  {"```\nmake dmeo\n```\n", []missing{{"make target", "dmeo"}}},
 		"prose isn't checked": {"they make dmeo", nil},
 	}
 	for name, tt := range tests {
--- a/lab/doccheck/operations_test.go
+++ b/lab/doccheck/operations_test.go
@@ -21,35 +21,37 @@
 	"github.com/knapweedgw/knapweedgw/telemetry"
 )
 
+// fqName matches the name in the text form of a prometheus.Desc, which has no accessor for it.
 var fqName = regexp.MustCompile(`fqName: "([^"]+)"`)
 
-// operations returns the operators' page.
-func operations(t *testing.T) string {
+// operationsPage returns the text of the operators' page.
+func operationsPage(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(root, "docs/OPERATIONS.md"))
 	is.New(t).NoErr(err)
 	return string(raw)
 }
 
-func TestEveryReasonHasARemedy(t *testing.T) {
-	text := operations(t)
+func TestEveryReasonIsListed(t *testing.T) {
+	text := operationsPage(t)
 	for _, r := range problem.Reasons() {
 		if !strings.Contains(text, "`"+string(r)+"`") {
-			t.Errorf("docs/OPERATIONS.md: no refusal reason %s", r)
+			t.Errorf("docs/OPERATIONS.md: refusal reason %s is missing", r)
 		}
 	}
 }
 
-func TestEveryMetricIsExplained(t *testing.T) {
-	text := operations(t)
+func TestEveryMetricIsListed(t *testing.T) {
+	text := operationsPage(t)
 	for name := range metrics(t) {
 		if !strings.Contains(text, "`"+name+"`") {
-			t.Errorf("docs/OPERATIONS.md: no metric %s", name)
+			t.Errorf("docs/OPERATIONS.md: metric %s is missing", name)
 		}
 	}
 }
 
-// metrics returns the names of the node's own metrics.
+// metrics returns the names of the metrics that a node registers, without those of client libraries,
+// and of the metrics of a router node.
 func metrics(t *testing.T) map[string]bool {
 	t.Helper()
 	is := is.New(t)
@@ -78,7 +80,7 @@
 	return names
 }
 
-// routerMetrics returns the names of a router node's metrics.
+// routerMetrics returns the names of the metrics that a router node registers.
 func routerMetrics(t *testing.T) map[string]bool {
 	t.Helper()
 	cfg := &config.Router{
@@ -101,13 +103,13 @@
 	return names
 }
 
-func TestEveryFlagIsExplained(t *testing.T) {
-	text := operations(t)
+func TestEveryFlagIsListed(t *testing.T) {
+	text := operationsPage(t)
 	fs := pflag.NewFlagSet("node", pflag.ContinueOnError)
 	config.Bind(fs)
 	fs.VisitAll(func(f *pflag.Flag) {
 		if !strings.Contains(text, "`--"+f.Name+"`") {
-			t.Errorf("docs/OPERATIONS.md: no flag --%s", f.Name)
+			t.Errorf("docs/OPERATIONS.md: flag --%s is missing", f.Name)
 		}
 	})
 }
