--- a/lab/demotest/knownred_test.go
+++ b/lab/demotest/knownred_test.go
@@ -10,12 +10,15 @@
 	"github.com/matryer/is"
 )
 
+// TestKnownRedList checks which lists scripts/known-red.sh accepts. CI passes over a failure of the
+// tests in the list, so a malformed line, a name that isn't that of one test, or more than 3 tests
+// must be refused.
 func TestKnownRedList(t *testing.T) {
 	const a, b, c = "TestKnownRedList: cause, issue 1\n", "TestDemo: cause, more, issue 2\n", "TestSignalStopsAll: cause, issue 3\n"
 	tests := map[string]struct {
 		list  string
-		names string // "" for a refusal
-		fault string
+		names string // printed test names; "" if the list is refused
+		fault string // expected in the error; "" if the list is accepted
 	}{
 		"one":           {list: a, names: "TestKnownRedList"},
 		"three":         {list: a + b + c, names: "TestKnownRedList TestDemo TestSignalStopsAll"},
