--- a/lab/usage/usage.go
+++ b/lab/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage reads what the process itself uses.
+// Package usage reads the resource usage of the current process.
 package usage
 
 import (
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// CPUTime returns the CPU time that this process has used; 0 if the system
-// doesn't tell.
+// CPUTime returns the user and system CPU time that this process has used; 0 if getrusage(2) fails.
 func CPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
