--- a/lab/cmd/knapweedlab/bench.go
+++ b/lab/cmd/knapweedlab/bench.go
@@ -6,6 +6,7 @@
 	"github.com/knapweedgw/knapweedgw/lab/bench"
 )
 
+// benchCommand returns the command that runs the benchmarks of lab/bench.
 func benchCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "bench [PART...]",
--- a/lab/cmd/knapweedlab/calls.go
+++ b/lab/cmd/knapweedlab/calls.go
@@ -13,6 +13,7 @@
 	"github.com/knapweedgw/knapweedgw/lab/platform"
 )
 
+// callsCommand returns the command that measures the call rates of the platform stand-in.
 func callsCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "calls PLATFORM",
@@ -46,6 +47,7 @@
 	return cmd
 }
 
+// fetchCalls returns the call counters of the platform stand-in at url.
 func fetchCalls(ctx context.Context, url string) (platform.Calls, error) {
 	var c platform.Calls
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/lab/calls", nil)
--- a/lab/cmd/knapweedlab/capacity.go
+++ b/lab/cmd/knapweedlab/capacity.go
@@ -9,6 +9,8 @@
 	"github.com/knapweedgw/knapweedgw/lab/capacity"
 )
 
+// capacityCommand returns the command that measures the costs per unit of load and prints the
+// capacity model computed from them.
 func capacityCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "capacity [PROBE...]",
--- a/lab/cmd/knapweedlab/experiment.go
+++ b/lab/cmd/knapweedlab/experiment.go
@@ -11,6 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/lab/experiment"
 )
 
+// experimentCommand returns the command that applies a plan of faults.
 func experimentCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "experiment FILE",
@@ -30,7 +31,7 @@
 			}
 			var plan experiment.Plan
 			if err := json.Unmarshal(raw, &plan); err != nil {
-				return errors.Wrapf(err, "%s is not a plan", args[0])
+				return errors.Wrapf(err, "parse plan %s", args[0])
 			}
 			out := json.NewEncoder(cmd.OutOrStdout())
 			res, err := experiment.Run(cmd.Context(), plan, func(o experiment.Outcome) { _ = out.Encode(o) })
@@ -39,7 +40,7 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), res.Summary())
 			if res.Failed > 0 {
-				return errors.New("a step failed; see its line")
+				return errors.New("at least one step failed: see its output line")
 			}
 			return nil
 		},
--- a/lab/cmd/knapweedlab/load.go
+++ b/lab/cmd/knapweedlab/load.go
@@ -12,6 +12,7 @@
 	"github.com/knapweedgw/knapweedgw/lab/load"
 )
 
+// loadCommand returns the command that generates load.
 func loadCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "load",
@@ -60,13 +61,15 @@
 			return err
 		}
 		if !res.OK(cfg.UnderFaults) {
-			return errors.New("an answer was lost, doubled or cut, or a run request was told as not run")
+			return errors.New("a request had no whole answer, ran more than once, or was reported as not run though it ran")
 		}
 		return nil
 	}
 	return cmd
 }
 
+// writeResult writes the result and its summary to out and, if file is not empty, the rows as JSON
+// lines to that file.
 func writeResult(res load.Result, out io.Writer, file string) error {
 	var lines io.Writer
 	if file != "" {
--- a/lab/cmd/knapweedlab/main.go
+++ b/lab/cmd/knapweedlab/main.go
@@ -1,5 +1,5 @@
-// Command knapweedlab runs the stand-ins for what knapweedgw serves, and
-// sends load through its nodes.
+// Command knapweedlab has the laboratory's tools: stand-ins (servers in place of the platform,
+// engines and plain services), load and fault generators, and measurements.
 package main
 
 import (
@@ -21,6 +21,7 @@
 	}
 }
 
+// root returns the command line with all commands.
 func root() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "knapweedlab",
--- a/lab/cmd/knapweedlab/measure.go
+++ b/lab/cmd/knapweedlab/measure.go
@@ -18,8 +18,8 @@
 	"github.com/knapweedgw/knapweedgw/lab/measure/routing"
 )
 
-// sections are the measurements, in the order in which they run; the one
-// whose summary closes the output is last.
+// sections lists the measurements in the order in which they run. The summary of the last one is the
+// last line of the output.
 var sections = []measure.Section{
 	claims.Section{},
 	retries.Section{},
@@ -30,6 +30,7 @@
 	routing.Section{},
 }
 
+// measureCommand returns the command that runs the measurements.
 func measureCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "measure [SECTION...]",
--- a/lab/cmd/knapweedlab/ports.go
+++ b/lab/cmd/knapweedlab/ports.go
@@ -8,6 +8,8 @@
 	"github.com/spf13/cobra"
 )
 
+// portsCommand returns the command that prints free ports. It holds all listeners until the end, so
+// that the ports differ.
 func portsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "ports N",
--- a/lab/cmd/knapweedlab/scripting.go
+++ b/lab/cmd/knapweedlab/scripting.go
@@ -17,6 +17,7 @@
 	probeTimeout = time.Second
 )
 
+// waitCommand returns the command that waits until servers are ready.
 func waitCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "wait URL...",
@@ -38,6 +39,7 @@
 	return cmd
 }
 
+// waitFor probes url until it answers 200 or ctx is done.
 func waitFor(ctx context.Context, url string) error {
 	for {
 		err := probe(ctx, url)
@@ -52,6 +54,7 @@
 	}
 }
 
+// probe returns an error unless url answers 200 within probeTimeout.
 func probe(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -70,6 +73,7 @@
 	return nil
 }
 
+// digestCommand returns the command that prints the digests of API keys.
 func digestCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "digest KEY...",
--- a/lab/cmd/knapweedlab/soak.go
+++ b/lab/cmd/knapweedlab/soak.go
@@ -11,37 +11,47 @@
 	"github.com/knapweedgw/knapweedgw/lab/soak"
 )
 
-// toolHost owns the stand-ins of a tool. A failure of theirs ends the tool.
+// toolHost is the standin.Owner of a command, in place of a *testing.T: it runs the cleanups of the
+// stand-ins, and a fatal error of theirs ends the process.
 type toolHost struct {
 	mu       sync.Mutex
 	cleanups []func()
 }
 
-// Cleanup keeps f for the end of the tool.
+// Cleanup adds f to the functions that close calls.
 func (h *toolHost) Cleanup(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cleanups = append(h.cleanups, f)
 }
 
+// Failed returns false: a failure ends the process.
 func (h *toolHost) Failed() bool { return false }
-func (h *toolHost) Helper()      {}
 
+// Helper does nothing.
+func (h *toolHost) Helper() {}
+
+// Fatal prints the error and ends the process with exit code 1, without cleanups.
 func (h *toolHost) Fatal(args ...any) {
 	fmt.Fprintln(os.Stderr, append([]any{"knapweedlab:"}, args...)...)
 	os.Exit(1)
 }
 
+// Fatalf is Fatal with a format.
 func (h *toolHost) Fatalf(format string, args ...any) { h.Fatal(fmt.Sprintf(format, args...)) }
 
+// Logf prints a line to standard error.
 func (h *toolHost) Logf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 
+// close calls the cleanups in the order in which they were added.
 func (h *toolHost) close() {
 	for _, f := range h.cleanups {
 		f()
 	}
 }
 
+// soakCommand returns the command that runs the soak test. A promise is a property that must hold in
+// every run; a finding is an event that breaks a promise only above a certain number.
 func soakCommand() *cobra.Command {
 	var o soak.Options
 	var seeds int
@@ -80,6 +90,8 @@
 	return cmd
 }
 
+// soakOnce runs one seed, prints its report and returns the number of broken promises. The logs are
+// kept if there is one, or a finding.
 func soakOnce(cmd *cobra.Command, o soak.Options) (broken int, err error) {
 	host := &toolHost{}
 	defer host.close()
--- a/lab/cmd/knapweedlab/standins.go
+++ b/lab/cmd/knapweedlab/standins.go
@@ -13,6 +13,7 @@
 	"github.com/knapweedgw/knapweedgw/vmlist"
 )
 
+// platformCommand returns the command that runs the platform stand-in.
 func platformCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "platform",
@@ -29,12 +30,13 @@
 	return cmd
 }
 
-// vmFlags are the flags that describe a stand-in's VM.
+// vmFlags holds the flags that describe the VM of a stand-in or node.
 type vmFlags struct {
-	platform string
+	platform string // URL of the platform stand-in
 	vm       vmlist.VM
 }
 
+// bindVM defines the flags. The VM's incarnation is the current time in Unix nanoseconds.
 func bindVM(cmd *cobra.Command, role vmlist.Role) *vmFlags {
 	f := &vmFlags{vm: vmlist.VM{Role: role, State: vmlist.StateLive, Incarnation: time.Now().UnixNano()}}
 	fs := cmd.Flags()
@@ -47,6 +49,7 @@
 	return f
 }
 
+// engineCommand returns the command that runs an engine stand-in and registers its VM.
 func engineCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "engine",
@@ -72,6 +75,8 @@
 	return cmd
 }
 
+// serviceCommand returns the command that runs a stand-in for a plain service, one that serves no
+// model, and registers its VM.
 func serviceCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "service",
@@ -88,6 +93,7 @@
 	return cmd
 }
 
+// vmCommand returns the command that registers the VM of a node.
 func vmCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "vm",
