--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure runs the laboratory's measurements on virtual time and
-// reports them as a table and as JSON lines. A measurement is seeded, so that
-// the same seed gives the same figures.
+// Package measure reports the lab's measurements as a table and as JSON lines.
+// The measurements in its subpackages run on virtual time and are seeded: the
+// same seed gives the same figures.
 package measure
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Section is one measurement.
+// Section is a measurement that the command line can run.
 type Section interface {
 	// Name is the section's name on the command line.
 	Name() string
@@ -30,11 +30,11 @@
 	Value any
 }
 
-// Reporter writes rows as they come.
+// Reporter writes rows to a table and, optionally, as JSON lines.
 type Reporter struct {
-	table *tabwriter.Writer
-	json  *json.Encoder // nil for none
-	head  string
+	table  *tabwriter.Writer
+	json   *json.Encoder // nil if no JSON lines are written
+	header string        // column names of the last row
 }
 
 // NewReporter writes the table to w and JSON lines to jsonLines, which may be
@@ -48,30 +48,30 @@
 	return r
 }
 
-// Add reports a row of a section. A header is written when the columns change.
+// Add reports a row of a section. It writes a header whenever the columns change.
 func (r *Reporter) Add(section string, row Row) error {
 	names, values := "", ""
 	object := map[string]any{"section": section}
 	for _, f := range row.Fields() {
 		names += f.Name + "\t"
-		values += format(f.Value) + "\t"
+		values += formatValue(f.Value) + "\t"
 		object[f.Name] = f.Value
 	}
-	if names != r.head {
-		r.head = names
+	if names != r.header {
+		r.header = names
 		fmt.Fprintf(r.table, "\n%s\n", names)
 	}
 	fmt.Fprintln(r.table, values)
 	if r.json == nil {
 		return nil
 	}
-	return errors.Wrap(r.json.Encode(object), "measure: json")
+	return errors.Wrap(r.json.Encode(object), "measure: encode row as JSON")
 }
 
-// Flush writes what is buffered.
+// Flush writes the buffered part of the table.
 func (r *Reporter) Flush() error { return r.table.Flush() }
 
-func format(v any) string {
+func formatValue(v any) string {
 	if f, ok := v.(float64); ok {
 		return fmt.Sprintf("%.3g", f)
 	}
--- a/lab/measure/quantile.go
+++ b/lab/measure/quantile.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Quantile sorts d and returns its q-quantile (0 to 1): the value at or below
-// which that share of the others lies; 0 if d is empty.
+// Quantile sorts d and returns its q-quantile, with q from 0 to 1: the share q of
+// the other values is at or below it. It returns 0 if d is empty.
 func Quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
