--- a/lab/measure/retries/retries.go
+++ b/lab/measure/retries/retries.go
@@ -1,7 +1,7 @@
-// Package retries measures on virtual time how much the retry policy adds to
-// the load of the targets when a share of them fails every request they get,
-// first with targets drawn at random, then with owners that place requests and
-// suspend targets.
+// Package retries measures on virtual time how much load the retry policy adds
+// to the targets while a share of them fails every request: first with targets
+// chosen at random, then with admission owners that place requests and suspend
+// targets.
 package retries
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/knapweedgw/knapweedgw/retry"
 )
 
-// The load: each node's share of the design size, and the gateway's limits.
+// The load is each node's share of the load that the fleet is designed for; the
+// retry limits are the gateway's.
 const (
 	ratePerNode = 12.4 // requests/s
 	seconds     = 120
@@ -26,24 +27,27 @@
 	maxBackoff  = time.Second
 )
 
-// Section is the measurement; it implements measure.Section.
+// Section is the measurement "retries"; it implements measure.Section.
 type Section struct{}
 
 // Name implements measure.Section.
 func (Section) Name() string { return "retries" }
 
-// Row is one case.
+// Row is the result of Simulate.
 type Row struct {
 	Nodes int
-	// Failing is the share of targets that fail all they get.
+	// Failing is the share of targets that fail every request.
 	Failing float64
-	// Share is the retry budget; 1 or more never binds here.
+	// Share is the retry budget as a share of requests; 1 or more never limits
+	// retries here.
 	Share float64
-	// Amplification is the attempts that reached targets over the requests.
+	// Amplification is the number of attempts that reached targets divided by
+	// the number of requests.
 	Amplification float64
-	// Answered is the share of requests answered whole.
+	// Answered is the share of requests that succeeded.
 	Answered float64
-	// BudgetEmpty is the share of requests given up for want of budget.
+	// BudgetEmpty is the share of requests that weren't retried because the
+	// budget was empty.
 	BudgetEmpty float64
 }
 
@@ -58,13 +62,13 @@
 
 // Run implements measure.Section.
 func (s Section) Run(_ context.Context, r *measure.Reporter, seed uint64) (string, error) {
-	var chosen Row
+	var summarized Row
 	for _, nodes := range []int{8, 53, 370} {
 		for _, failing := range []float64{0.05, 0.25, 1} {
 			for _, share := range []float64{0, 0.1, 0.2, 0.4, 3} {
 				row := Simulate(nodes, failing, share, seed)
 				if nodes == 370 && failing == 0.25 && share == 0.1 {
-					chosen = row
+					summarized = row
 				}
 				if err := r.Add(s.Name(), row); err != nil {
 					return "", err
@@ -78,16 +82,17 @@
 		}
 	}
 	return fmt.Sprintf("retries: nodes=%d failing=%.2f share=%.2f amplification=%.3f answered=%.4f",
-		chosen.Nodes, chosen.Failing, chosen.Share, chosen.Amplification, chosen.Answered), nil
+		summarized.Nodes, summarized.Failing, summarized.Share, summarized.Amplification, summarized.Answered), nil
 }
 
-// attempt is a request's next attempt at a node.
+// attempt is a scheduled attempt of a request that a node sends.
 type attempt struct {
 	at     time.Time
 	node   int
 	number int
 }
 
+// queue is a heap of attempts, earliest first.
 type queue []attempt
 
 func (q queue) Len() int           { return len(q) }
@@ -101,8 +106,8 @@
 	return last
 }
 
-// Simulate sends repeatable requests through nodes while the given share of
-// targets runs each request it gets and then fails it.
+// Simulate sends repeatable requests through the nodes while the given share of
+// targets runs every request that it receives and then fails it.
 func Simulate(nodes int, failing, share float64, seed uint64) Row {
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)))
 	start := time.Unix(0, 0)
@@ -126,7 +131,7 @@
 func run(q *queue, budgets []*retry.Budget, row Row, rng *rand.Rand) Row {
 	limits := retry.Limits{MaxAttempts: maxAttempts}
 	backoff := retry.Backoff{Base: baseBackoff, Max: maxBackoff}
-	var requests, attempts, answered, empty float64
+	var requests, attempts, answered, withoutBudget float64
 	for q.Len() > 0 {
 		a := heap.Pop(q).(attempt)
 		attempts++
@@ -143,13 +148,13 @@
 			continue
 		}
 		if !budgets[a.node].Take(a.at) {
-			empty++
+			withoutBudget++
 			continue
 		}
 		heap.Push(q, attempt{a.at.Add(backoff.Pause(a.number, rng)), a.node, a.number + 1})
 	}
 	row.Amplification = attempts / requests
 	row.Answered = answered / requests
-	row.BudgetEmpty = empty / requests
+	row.BudgetEmpty = withoutBudget / requests
 	return row
 }
--- a/lab/measure/retries/retries_test.go
+++ b/lab/measure/retries/retries_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// However many targets fail, and however many nodes there are, the fleet's
-// load grows by the share, the floor and the saved burst at most.
+// TestAmplificationIsBounded checks that retries add at most the budget's share,
+// floor and saved burst to the load, whatever the number of nodes and the share
+// of failing targets.
 func TestAmplificationIsBounded(t *testing.T) {
 	is := is.New(t)
 	for _, nodes := range []int{4, 16} {
@@ -22,15 +23,17 @@
 	}
 }
 
-// A budget that is never empty lets the cap on attempts alone bound a storm.
-func TestWithoutBudgetTheCapBounds(t *testing.T) {
+// TestMaxAttemptsBoundsLoadWithoutBudget uses a budget that is never empty, so that
+// only the limit of attempts per request bounds the load.
+func TestMaxAttemptsBoundsLoadWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Simulate(8, 1, 3, 1).Amplification, float64(maxAttempts))
 }
 
-// A failing share of the targets is found by the owner: fewer requests meet it
-// and more are answered. If all fail, requests are still tried.
-func TestSuspensionHelps(t *testing.T) {
+// TestSuspensionReducesFailures checks that owners detect and suspend failing
+// targets, so that fewer requests are sent to them and more succeed. If all
+// targets fail, requests are still attempted.
+func TestSuspensionReducesFailures(t *testing.T) {
 	is := is.New(t)
 	c := Case{Nodes: 4, Pools: 1, Engines: 60, Failing: 0.25, Share: 0.2}
 	before := SimulateCells(c, time.Minute, 1)
--- a/lab/measure/retries/suspension.go
+++ b/lab/measure/retries/suspension.go
@@ -12,32 +12,34 @@
 	"github.com/knapweedgw/knapweedgw/retry"
 )
 
-// The load on the cells, from the published sizes of the target.
+// The load on the cells, from the published sizes of the target system.
 const (
-	serviceTime = 21 * time.Second      // mean, exponential
-	failTime    = 50 * time.Millisecond // until a failing target fails a request
-	flapPeriod  = 20 * time.Second      // half of it failing
-	maxInFlight = 64
-	loadFactor  = 1.25
-	chatsEach   = 60 // by engine
+	serviceTime    = 21 * time.Second      // mean, exponential
+	failTime       = 50 * time.Millisecond // from the start of a request to its failure at a failing target
+	flapPeriod     = 20 * time.Second      // a flapping target fails during half of each period
+	maxInFlight    = 64
+	loadFactor     = 1.25
+	chatsPerEngine = 60 // chats of each engine
 )
 
-// Case is one run of requests through owners of cells. Each pool in a region is
-// one cell.
+// Case holds the parameters of one simulation of requests that owners of cells
+// place on targets. Each pool in a region is one cell.
 type Case struct {
-	Nodes, Pools, Engines int     // engines of a pool
-	Failing               float64 // share of the targets
-	// Flapping targets fail half of the time; what they have running goes on.
+	Nodes, Pools, Engines int     // Engines is per pool
+	Failing               float64 // share of the targets that fail
+	// Flapping targets fail new requests half of the time; requests that run
+	// already continue.
 	Flapping bool
-	// CutOff nodes, the first ones, fail whatever target they send to.
+	// CutOff is the number of nodes, counted from the first, whose requests
+	// fail at every target.
 	CutOff int
-	// Refusing targets answer 503 at once instead of failing.
+	// Refusing targets answer 503 immediately instead of failing.
 	Refusing bool
-	Suspend  bool // the owners heed failures
-	Share    float64
+	Suspend  bool    // owners suspend failing targets
+	Share    float64 // retry budget as a share of requests
 }
 
-// cases returns the runs: faults at three sizes, without and with suspension.
+// cases returns each fault at three fleet sizes, without and with suspension.
 func cases() []Case {
 	var out []Case
 	for _, size := range []Case{
@@ -60,8 +62,8 @@
 // SuspensionRow is the result of a Case.
 type SuspensionRow struct {
 	Case
-	Amplification float64 // attempts over requests
-	Answered      float64 // share of requests
+	Amplification float64 // attempts per request
+	Answered      float64 // share of requests that succeeded
 	FirstFailed   float64 // share of requests whose first attempt failed
 	Suspensions   int
 }
@@ -76,19 +78,21 @@
 	}
 }
 
-// event is the next attempt of a request, or the end of its attempt.
+// event is the next attempt of a request or, if request is set, the end of its
+// current attempt.
 type event struct {
 	at      time.Time
 	node    int
 	pool    int
 	number  int
 	chat    uint64
-	request string // of the attempt that ends; else empty
+	request string // ID of the attempt that ends; empty for a new attempt
 	target  string
 	failed  bool
 	exclude []string
 }
 
+// events is a heap of events, earliest first.
 type events []*event
 
 func (q events) Len() int           { return len(q) }
@@ -102,25 +106,25 @@
 	return last
 }
 
-// cells is a run under way.
-type cells struct {
+// simulation is the state of one run of a Case.
+type simulation struct {
 	Case
-	rng     *rand.Rand
-	start   time.Time
-	queue   events
-	pools   []*cell.Cell
-	phases  map[string]time.Duration // of the failing targets, by ID
-	budgets []*retry.Budget
-	serial  uint64
-	row     SuspensionRow
+	rng         *rand.Rand
+	start       time.Time
+	queue       events
+	pools       []*cell.Cell
+	phases      map[string]time.Duration // flapping phase of each failing target, by target ID
+	budgets     []*retry.Budget
+	lastRequest uint64
+	row         SuspensionRow
 
 	requests, attempts, answered, firstFailed float64
 }
 
-// SimulateCells runs repeatable requests for a time. Attempts and their ends
-// reach the owners at once.
+// SimulateCells runs repeatable requests that arrive during length. Attempts and
+// their results reach the owners without delay.
 func SimulateCells(c Case, length time.Duration, seed uint64) SuspensionRow {
-	s := &cells{
+	s := &simulation{
 		Case: c, rng: rand.New(rand.NewPCG(seed, uint64(c.Nodes))), start: time.Unix(1_000_000, 0),
 		phases: make(map[string]time.Duration), row: SuspensionRow{Case: c},
 	}
@@ -128,9 +132,9 @@
 	for s.queue.Len() > 0 {
 		e := heap.Pop(&s.queue).(*event)
 		if e.request == "" {
-			s.try(e)
+			s.acquire(e)
 		} else {
-			s.end(e)
+			s.finish(e)
 		}
 	}
 	s.row.Amplification = s.attempts / s.requests
@@ -139,7 +143,7 @@
 	return s.row
 }
 
-func (s *cells) build(length time.Duration) {
+func (s *simulation) build(length time.Duration) {
 	for p := range s.Pools {
 		c := cell.New(cell.Config{LoadFactor: loadFactor, MaxInFlight: maxInFlight})
 		var targets []cell.Target
@@ -161,25 +165,25 @@
 			if at.Sub(s.start) >= length {
 				break
 			}
-			chat := s.rng.Uint64N(uint64(chatsEach * s.Engines))
+			chat := s.rng.Uint64N(uint64(chatsPerEngine * s.Engines))
 			s.queue = append(s.queue, &event{at: at, node: n, pool: s.rng.IntN(s.Pools), number: 1, chat: chat})
 		}
 	}
 	heap.Init(&s.queue)
 }
 
-func (s *cells) try(e *event) {
+func (s *simulation) acquire(e *event) {
 	if e.number == 1 {
 		s.requests++
 		s.budgets[e.node].Request(e.at)
 	}
-	s.serial++
-	e.request = strconv.FormatUint(s.serial, 36)
+	s.lastRequest++
+	e.request = strconv.FormatUint(s.lastRequest, 36)
 	v := s.pools[e.pool].Acquire(e.at, cell.AcquireRequest{
 		Request: e.request, Chat: e.chat, Exclude: e.exclude, Returning: true, Last: true,
 	})
 	if v.Outcome != cell.Granted {
-		return // refused for want of room: not answered
+		return // refused because no target has capacity; counts as not answered
 	}
 	s.attempts++
 	e.target, e.failed = v.Target, e.node < s.CutOff || s.fails(v.Target, e.at)
@@ -191,12 +195,12 @@
 	heap.Push(&s.queue, e)
 }
 
-func (s *cells) fails(target string, now time.Time) bool {
+func (s *simulation) fails(target string, now time.Time) bool {
 	phase, failing := s.phases[target]
 	return failing && (!s.Flapping || (now.Sub(s.start)+phase)%flapPeriod < flapPeriod/2)
 }
 
-func (s *cells) end(e *event) {
+func (s *simulation) finish(e *event) {
 	result := cell.Answered
 	switch {
 	case e.failed && s.Refusing:
@@ -218,10 +222,10 @@
 	if e.number == 1 {
 		s.firstFailed++
 	}
-	s.again(e)
+	s.retry(e)
 }
 
-func (s *cells) again(e *event) {
+func (s *simulation) retry(e *event) {
 	failed := retry.Attempt{Number: e.number, Progress: retry.Sent, Repeatable: true, Remaining: retry.NoDeadline}
 	if retry.Decide(failed, retry.Limits{MaxAttempts: maxAttempts}) != retry.Allow || !s.budgets[e.node].Take(e.at) {
 		return
