--- a/lab/measure/news/news.go
+++ b/lab/measure/news/news.go
@@ -1,5 +1,6 @@
-// Package news measures, on virtual time, ways in which nodes can tell each other
-// their counts: how old the word of another node is, and what it costs a node.
+// Package news measures, on virtual time, strategies by which nodes exchange their
+// counts of running requests: how old the counts known of another node are, and how
+// many messages and bytes a node receives.
 package news
 
 import (
@@ -15,24 +16,24 @@
 // The model's times, in ticks of 10 ms.
 const (
 	second   = 100
-	interval = second / 5 // between two messages of a small fleet
+	interval = second / 5 // between two messages to the same node in a small fleet
 	settle   = 12 * second
 	measured = 10 * second
 )
 
-// The model's sizes, in bytes, and traffic.
+// The model's message sizes, in bytes, and traffic.
 const (
-	header  = 28 + 60 // of a packet, and of a report
-	perSum  = 5       // a target in a sum
-	perNode = 30      // a node's own counts with its name and version
-	targets = 192
-	running = 4 // targets that a node uses at a time
-	loss    = 0.01
+	headerBytes    = 28 + 60 // of a packet (28) and of a report (60)
+	bytesPerTarget = 5       // of a target in a sum of several nodes' counts
+	bytesPerNode   = 30      // of a node's own counts with its name and version
+	targets        = 192
+	running        = 4 // targets that a node uses at a time
+	loss           = 0.01
 )
 
 var sizes = []int{7, 66, 295, 370}
 
-// Section is the measurement.
+// Section is the measurement "news".
 type Section struct{}
 
 // Name implements measure.Section.
@@ -42,70 +43,70 @@
 func (s Section) Run(ctx context.Context, r *measure.Reporter, seed uint64) (string, error) {
 	var last row
 	for _, n := range sizes {
-		for _, p := range plans {
+		for _, st := range strategies {
 			if err := ctx.Err(); err != nil {
 				return "", err
 			}
-			last = run(p, n, seed)
+			last = run(st, n, seed)
 			if err := r.Add(s.Name(), last); err != nil {
 				return "", err
 			}
 		}
 	}
-	return fmt.Sprintf("news: plan=%s nodes=%d age_p50_s=%.2f", last.plan, last.nodes, last.median), nil
+	return fmt.Sprintf("news: plan=%s nodes=%d age_p50_s=%.2f", last.strategy, last.nodes, last.median), nil
 }
 
-// row is what was measured. Ages are in seconds; the busiest node is the one that gets
-// the most messages.
+// row is the result of one strategy at one fleet size. Ages are in seconds; the busiest
+// node is the one that receives the most messages.
 type row struct {
-	plan                     string
-	nodes                    int
-	median, late, worst      float64
-	messages, bytes          float64 // a second, received, at the average node
-	busyMessages, busyMedian float64 // at the busiest and the median node
+	strategy                        string
+	nodes                           int
+	median, p99, worst              float64
+	messages, bytes                 float64 // received per second by the average node
+	messagesBusiest, messagesMedian float64 // received per second by the busiest and the median node
 }
 
 // Fields implements measure.Row.
 func (r row) Fields() []measure.Field {
 	return []measure.Field{
-		{Name: "plan", Value: r.plan}, {Name: "nodes", Value: r.nodes},
-		{Name: "age_p50_s", Value: r.median}, {Name: "age_p99_s", Value: r.late}, {Name: "age_worst_s", Value: r.worst},
-		{Name: "messages_node_s", Value: r.messages}, {Name: "messages_median_s", Value: r.busyMedian},
-		{Name: "messages_busiest_s", Value: r.busyMessages}, {Name: "bytes_node_s", Value: r.bytes},
+		{Name: "plan", Value: r.strategy}, {Name: "nodes", Value: r.nodes},
+		{Name: "age_p50_s", Value: r.median}, {Name: "age_p99_s", Value: r.p99}, {Name: "age_worst_s", Value: r.worst},
+		{Name: "messages_node_s", Value: r.messages}, {Name: "messages_median_s", Value: r.messagesMedian},
+		{Name: "messages_busiest_s", Value: r.messagesBusiest}, {Name: "bytes_node_s", Value: r.bytes},
 	}
 }
 
-// plan is a way to tell counts.
-type plan struct {
+// strategy is a way to exchange counts.
+type strategy struct {
 	name string
-	// send sends what node at has to send at a tick.
-	send func(f *fleet, at int)
+	// send sends the messages of a node that are due at the current tick.
+	send func(f *fleet, node int)
 }
 
-var plans = []plan{
+var strategies = []strategy{
 	{"mesh, 60 a second", (*fleet).mesh},
 	{"mesh of changes, 60 a second", (*fleet).changes},
-	{"two adders a domain", (*fleet).adders},
+	{"two adders a domain", (*fleet).aggregators},
 	{"epidemic of changes", (*fleet).epidemic},
 	{"groups", (*fleet).groups},
 }
 
-// fleet is nodes that know when each other's word is from.
+// fleet models nodes and the age of the counts that they have of each other.
 type fleet struct {
 	rng *rand.Rand
 	n   int
 	now int
-	// have is, by receiver and origin, the tick of the newest word.
-	have [][]int
-	// phase is when in its interval a node sends.
+	// newest is, by receiver and origin, the tick of the newest counts received.
+	newest [][]int
+	// phase is each node's random offset within its send interval.
 	phase           []int
 	messages, bytes []int
 }
 
-func run(p plan, n int, seed uint64) row {
+func run(s strategy, n int, seed uint64) row {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, uint64(n))), n: n}
 	for range n {
-		f.have = append(f.have, make([]int, n))
+		f.newest = append(f.newest, make([]int, n))
 		f.phase = append(f.phase, f.rng.IntN(1<<30))
 	}
 	var ages []float64
@@ -113,23 +114,23 @@
 		if f.now == settle {
 			f.messages, f.bytes = make([]int, n), make([]int, n)
 		}
-		for at := range n {
-			f.have[at][at] = f.now
-			p.send(f, at)
+		for node := range n {
+			f.newest[node][node] = f.now
+			s.send(f, node)
 		}
 		if f.now > settle && f.now%10 == 0 {
 			ages = f.sample(ages)
 		}
 	}
-	return f.row(p.name, ages)
+	return f.row(s.name, ages)
 }
 
 func (f *fleet) sample(ages []float64) []float64 {
 	const pairs = 200
 	for range pairs {
-		at, of := f.rng.IntN(f.n), f.rng.IntN(f.n)
-		if at != of {
-			ages = append(ages, float64(f.now-f.have[at][of])/second)
+		node, of := f.rng.IntN(f.n), f.rng.IntN(f.n)
+		if node != of {
+			ages = append(ages, float64(f.now-f.newest[node][of])/second)
 		}
 	}
 	return ages
@@ -144,88 +145,90 @@
 	}
 	const seconds = measured / second
 	return row{
-		plan: name, nodes: f.n, median: ages[len(ages)/2], late: ages[len(ages)*99/100], worst: ages[len(ages)-1],
+		strategy: name, nodes: f.n, median: ages[len(ages)/2], p99: ages[len(ages)*99/100], worst: ages[len(ages)-1],
 		messages: float64(messages) / seconds / float64(f.n), bytes: float64(bytes) / seconds / float64(f.n),
-		busyMessages: float64(f.messages[f.n-1]) / seconds, busyMedian: float64(f.messages[f.n/2]) / seconds,
+		messagesBusiest: float64(f.messages[f.n-1]) / seconds, messagesMedian: float64(f.messages[f.n/2]) / seconds,
 	}
 }
 
-// tell gives a node the word of origins as another has it.
-func (f *fleet) tell(from, to, size int, origins ...int) {
+// send delivers to a node the counts of origins that another node holds, unless the
+// message is lost, and counts the message at the receiver.
+func (f *fleet) send(from, to, size int, origins ...int) {
 	if from == to {
 		return
 	}
 	if f.messages != nil {
 		f.messages[to]++
-		f.bytes[to] += header + size
+		f.bytes[to] += headerBytes + size
 	}
 	if f.rng.Float64() < loss {
 		return
 	}
 	for _, o := range origins {
-		f.have[to][o] = max(f.have[to][o], f.have[from][o])
+		f.newest[to][o] = max(f.newest[to][o], f.newest[from][o])
 	}
 }
 
-// due says whether node at sends the k-th of its messages of an interval now.
-func (f *fleet) due(at, k, every int) bool { return (f.now+f.phase[at]+k)%every == 0 }
+// isDue reports whether a node sends the k-th of its messages of an interval at this tick.
+func (f *fleet) isDue(node, k, every int) bool { return (f.now+f.phase[node]+k)%every == 0 }
 
-// sumSize is the size of the sum of so many nodes.
+// sumSize returns the size in bytes of the sum of the counts of so many nodes.
 func sumSize(nodes int) int {
 	used := targets * (1 - math.Pow(1-1.0/targets, float64(running*nodes)))
-	return int(perSum * used)
+	return int(bytesPerTarget * used)
 }
 
-// mesh: each node reports to each other, as often as keeps 60 a second inbound.
-func (f *fleet) mesh(at int) { f.meshOf(at, perNode) }
+// mesh makes each node report to every other node, at an interval that keeps inbound
+// reports at 60 a second at most.
+func (f *fleet) mesh(node int) { f.meshOf(node, bytesPerNode) }
 
-// changes is mesh with reports of what changed: three quarters of the requests in
-// progress are the same as an interval ago in a small fleet, none in a large one.
-func (f *fleet) changes(at int) {
-	size := perNode
+// changes is mesh with reports that contain only changes. In a small fleet three quarters
+// of the requests in progress are the same as an interval ago, in a large one none.
+func (f *fleet) changes(node int) {
+	size := bytesPerNode
 	if f.n*second/60 <= interval {
-		size = perNode / 2
+		size = bytesPerNode / 2
 	}
-	f.meshOf(at, size)
+	f.meshOf(node, size)
 }
 
-func (f *fleet) meshOf(at, size int) {
+func (f *fleet) meshOf(node, size int) {
 	every := max(interval, f.n*second/60)
 	for to := range f.n {
-		if f.due(at, to*every/f.n, every) {
-			f.tell(at, to, size, at)
+		if f.isDue(node, to*every/f.n, every) {
+			f.send(node, to, size, node)
 		}
 	}
 }
 
-// domains is the number of failure domains, addersOf that of adders in each.
+// The fleet has 6 failure domains with 2 aggregators in each.
 const (
-	domains  = 6
-	addersOf = 2
+	domains              = 6
+	aggregatorsPerDomain = 2
 )
 
-// adders: each node reports to the adders of its domain, these tell each other their
-// domains' sums, and their nodes those of all.
-func (f *fleet) adders(at int) {
-	if !f.due(at, 0, interval) {
+// aggregators makes each node report to the aggregators of its failure domain. These send
+// the sums of their domains to each other and the sums of all domains to their nodes.
+func (f *fleet) aggregators(node int) {
+	if !f.isDue(node, 0, interval) {
 		return
 	}
-	own := f.members(at%domains, domains)
-	isAdder := at < domains*addersOf
+	own := f.members(node%domains, domains)
+	isAggregator := node < domains*aggregatorsPerDomain
 	all := sumSize(f.n)
 	for to := range f.n {
 		switch {
-		case to%domains == at%domains && to < domains*addersOf:
-			f.tell(at, to, perNode, at)
-		case isAdder && to < domains*addersOf:
-			f.tell(at, to, sumSize(len(own)), own...)
-		case isAdder && to%domains == at%domains:
-			f.tell(at, to, all, f.members(0, 1)...)
+		case to%domains == node%domains && to < domains*aggregatorsPerDomain:
+			f.send(node, to, bytesPerNode, node)
+		case isAggregator && to < domains*aggregatorsPerDomain:
+			f.send(node, to, sumSize(len(own)), own...)
+		case isAggregator && to%domains == node%domains:
+			f.send(node, to, all, f.members(0, 1)...)
 		}
 	}
 }
 
-// members returns the nodes that are first, first+step and so on.
+// members returns the nodes first, first+step and so on.
 func (f *fleet) members(first, step int) []int {
 	var out []int
 	for i := first; i < f.n; i += step {
@@ -234,48 +237,49 @@
 	return out
 }
 
-// epidemic: each node tells four random others, each interval, the words that it got
-// within the last second and that are newer than an interval before.
-func (f *fleet) epidemic(at int) {
+// epidemic makes each node send to four random others, once per interval, all counts
+// that it holds and that are less than a second old.
+func (f *fleet) epidemic(node int) {
 	const fanout, recent = 4, second
-	if !f.due(at, 0, interval) {
+	if !f.isDue(node, 0, interval) {
 		return
 	}
-	var news []int
-	for o, stamp := range f.have[at] {
+	var recentOrigins []int
+	for origin, stamp := range f.newest[node] {
 		if f.now-stamp < recent {
-			news = append(news, o)
+			recentOrigins = append(recentOrigins, origin)
 		}
 	}
 	for range min(fanout, f.n-1) {
-		f.tell(at, f.rng.IntN(f.n), perNode*len(news), news...)
+		f.send(node, f.rng.IntN(f.n), bytesPerNode*len(recentOrigins), recentOrigins...)
 	}
 }
 
-// groups: reports within a group, and the sums of other groups from a relay of each
-// that changes every two seconds, as often as keeps 85 a second inbound.
-func (f *fleet) groups(at int) {
-	const most, lease, mesh = 85, 2 * second, 16
+// groups makes nodes report to each other within a group and receive the sum of every
+// other group from a relay in it, which changes every two seconds. The interval keeps
+// inbound messages at 85 a second at most.
+func (f *fleet) groups(node int) {
+	const maxInbound, relayTerm, maxMeshNodes = 85, 2 * second, 16
 	count := 1
-	if f.n > mesh {
+	if f.n > maxMeshNodes {
 		count = 1 << int(math.Round(math.Log2(float64(f.n))/2))
 	}
-	every := max(interval, second*(f.n/count+count-1)/most)
-	own := at % count
-	mates := f.members(own, count)
-	for i, to := range mates {
-		if f.due(at, i*every/len(mates), every) {
-			f.tell(at, to, perNode, at)
+	every := max(interval, second*(f.n/count+count-1)/maxInbound)
+	own := node % count
+	groupMembers := f.members(own, count)
+	for i, to := range groupMembers {
+		if f.isDue(node, i*every/len(groupMembers), every) {
+			f.send(node, to, bytesPerNode, node)
 		}
 	}
 	if count == 1 {
 		return
 	}
-	sum, turn := sumSize(len(mates)), f.now/lease
+	sum, rotation := sumSize(len(groupMembers)), f.now/relayTerm
 	for to := range f.n {
-		relay := (to/count + turn) % len(mates)
-		if to%count != own && mates[relay] == at && f.due(at, to*every/f.n, every) {
-			f.tell(at, to, sum, mates...)
+		relay := (to/count + rotation) % len(groupMembers)
+		if to%count != own && groupMembers[relay] == node && f.isDue(node, to*every/f.n, every) {
+			f.send(node, to, sum, groupMembers...)
 		}
 	}
 }
