--- a/lab/measure/membership/membership.go
+++ b/lab/measure/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership measures the protocol between the nodes of a region on
-// virtual time: how soon a lost node, a leaving one and a leaving target are
-// known everywhere, what is wrongly declared dead, and what it costs a node.
+// Package membership measures the membership protocol of a region's nodes on
+// virtual time: how long it takes until every node has learned of a lost node, a
+// leaving node and a leaving target, how many nodes are wrongly suspected or
+// declared dead, and how many messages and bytes a node sends.
 package membership
 
 import (
@@ -17,15 +18,15 @@
 
 // Times of a run.
 const (
-	settleTime  = 60 * time.Second // for the news of the start to end
+	settleTime  = 60 * time.Second // until the gossip about the start has ended
 	steadyTime  = 30 * time.Second
 	giveUpAfter = 3 * time.Minute
 	resolution  = 10 * time.Millisecond
-	kills       = 4 // one after the other
+	kills       = 4 // nodes killed one after the other
 )
 
-// cases are the sizes and losses measured. A region of 370 nodes that loses 30%
-// is left out: its news of wrong suspicions never ends.
+// cases are the region sizes and message loss rates measured. 370 nodes with 30%
+// loss are left out because gossip about false suspicions never ends there.
 var cases = []struct {
 	nodes int
 	loss  float64
@@ -33,7 +34,7 @@
 	{8, 0}, {8, 0.1}, {8, 0.3}, {53, 0}, {53, 0.1}, {53, 0.3}, {370, 0}, {370, 0.1},
 }
 
-// Section is the measurement.
+// Section is the measurement "membership".
 type Section struct{}
 
 // Name implements measure.Section.
@@ -54,16 +55,16 @@
 	return fmt.Sprintf("membership: nodes=%d loss=%v steady_Bps=%.0f", last.nodes, last.loss, last.bytes), nil
 }
 
-// row is what was measured at one size and loss. Times are in seconds of
-// virtual time from the event to the last node that knows.
+// row is the result at one size and loss rate. Times are in seconds of virtual
+// time from the event until the last running node has learned of it.
 type row struct {
-	nodes               int
-	loss                float64
-	messages, bytes     float64 // a node a second, sent
-	killMean, killWorst float64
-	leaving, target     float64
-	suspected, declared int64 // wrongly, in the steady time, by all nodes
-	most                int   // messages at one event
+	nodes                        int
+	loss                         float64
+	messages, bytes              float64 // sent per node and second
+	killMean, killWorst          float64
+	leaving, target              float64
+	falseSuspicions, falseDeaths int64 // by all nodes during steadyTime
+	mostMessages                 int   // sent by one node at one event
 }
 
 // Fields implements measure.Row.
@@ -77,9 +78,9 @@
 		{Name: "all_know_killed_worst_s", Value: r.killWorst},
 		{Name: "all_know_leaving_s", Value: r.leaving},
 		{Name: "all_know_target_s", Value: r.target},
-		{Name: "wrong_suspicions", Value: r.suspected},
-		{Name: "wrong_deaths", Value: r.declared},
-		{Name: "most_messages_event", Value: r.most},
+		{Name: "wrong_suspicions", Value: r.falseSuspicions},
+		{Name: "wrong_deaths", Value: r.falseDeaths},
+		{Name: "most_messages_event", Value: r.mostMessages},
 	}
 }
 
@@ -88,42 +89,43 @@
 	f.Loss = loss
 	f.Run(settleTime)
 	r := row{nodes: nodes, loss: loss}
-	r.steady(f)
-	heard := func(n *membershiptest.Node) bool { return len(n.Heard) > 0 }
-	r.target = until(f, all(f, heard), func() {
+	r.measureSteady(f)
+	learned := func(n *membershiptest.Node) bool { return len(n.Heard) > 0 }
+	r.target = timeUntil(f, all(f, learned), func() {
 		f.Learn(0, targets.Word{Target: "engine-1", Incarnation: 1, Leaving: true})
 	})
-	r.leaving = until(f, all(f, excludes(f.Nodes[1].ID)), f.Nodes[1].Leave)
+	r.leaving = timeUntil(f, all(f, excludes(f.Nodes[1].ID)), f.Nodes[1].Leave)
 	for _, victim := range f.Nodes[2 : 2+kills] {
-		r.kill(f, victim)
+		r.measureKill(f, victim)
 	}
 	for _, n := range f.Nodes {
-		r.most = max(r.most, n.MostSent)
+		r.mostMessages = max(r.mostMessages, n.MostSent)
 	}
 	return r
 }
 
-// kill measures how soon a node that ends without a word is excluded.
-func (r *row) kill(f *membershiptest.Fleet, victim *membershiptest.Node) {
-	gone := excludes(victim.ID)
-	seconds := until(f, all(f, gone), func() { victim.Down = true })
+// measureKill measures how soon all nodes exclude a node that stops without
+// announcing it.
+func (r *row) measureKill(f *membershiptest.Fleet, victim *membershiptest.Node) {
+	excluded := excludes(victim.ID)
+	seconds := timeUntil(f, all(f, excluded), func() { victim.Down = true })
 	r.killMean += seconds / kills
 	r.killWorst = max(r.killWorst, seconds)
 }
 
-// steady measures the cost and the wrong verdicts of a time without faults but
-// loss.
-func (r *row) steady(f *membershiptest.Fleet) {
+// measureSteady measures the traffic and the false suspicions and deaths of a
+// period whose only fault is message loss.
+func (r *row) measureSteady(f *membershiptest.Fleet) {
 	f.CountBytes = true
-	before := sum(f)
+	before := sumTotals(f)
 	f.Run(steadyTime)
-	after := sum(f)
+	after := sumTotals(f)
 	f.CountBytes = false
 	per := float64(len(f.Nodes)) * steadyTime.Seconds()
 	r.messages = float64(after.messages-before.messages) / per
 	r.bytes = float64(after.bytes-before.bytes) / per
-	r.suspected = after.counts.Suspicions - before.counts.Suspicions
-	r.declared = after.counts.Deaths - before.counts.Deaths
+	r.falseSuspicions = after.counts.Suspicions - before.counts.Suspicions
+	r.falseDeaths = after.counts.Deaths - before.counts.Deaths
 }
 
 type totals struct {
@@ -131,7 +133,7 @@
 	counts          membership.Counts
 }
 
-func sum(f *membershiptest.Fleet) totals {
+func sumTotals(f *membershiptest.Fleet) totals {
 	var t totals
 	for _, n := range f.Nodes {
 		t.messages += n.Messages
@@ -142,8 +144,9 @@
 	return t
 }
 
-// until makes an event happen and returns the seconds until done.
-func until(f *membershiptest.Fleet, done func() bool, event func()) float64 {
+// timeUntil triggers an event and returns the seconds until done returns true,
+// at most giveUpAfter.
+func timeUntil(f *membershiptest.Fleet, done func() bool, event func()) float64 {
 	start := f.Now
 	event()
 	for f.Now.Sub(start) < giveUpAfter && !done() {
@@ -152,14 +155,16 @@
 	return f.Now.Sub(start).Seconds()
 }
 
-// all says whether every node that is up knows.
-func all(f *membershiptest.Fleet, knows func(*membershiptest.Node) bool) func() bool {
+// all returns a function that reports whether every running node satisfies a
+// condition.
+func all(f *membershiptest.Fleet, condition func(*membershiptest.Node) bool) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(f.Nodes, func(n *membershiptest.Node) bool { return !n.Down && !knows(n) })
+		return !slices.ContainsFunc(f.Nodes, func(n *membershiptest.Node) bool { return !n.Down && !condition(n) })
 	}
 }
 
-// excludes says whether a node gives another no duty.
+// excludes returns a condition that is true if a node's view lacks the node id or
+// shows it as leaving or dead, so that it gives it no duties.
 func excludes(id string) func(*membershiptest.Node) bool {
 	return func(n *membershiptest.Node) bool {
 		other, ok := n.View().Node(id)
