--- a/lab/measure/orders/fleet.go
+++ b/lab/measure/orders/fleet.go
@@ -18,67 +18,67 @@
 )
 
 const (
-	step        = 500 * time.Millisecond // the issuers' tick
-	loadTime    = 30 * time.Second       // of one engine
-	settledTime = 10 * time.Minute       // over which rates are taken
-	longest     = 4 * time.Hour          // of a roll-out
+	step        = 500 * time.Millisecond // interval between ticks of the issuers
+	loadTime    = 30 * time.Second       // time that an engine takes to load a version
+	settledTime = 10 * time.Minute       // period over which rates are measured
+	maxWait     = 4 * time.Hour          // limit of a roll-out or a take-over
 )
 
-// calls counts what the issuers ask of the store and of engines.
+// calls counts the issuers' calls to the store and to engines.
 type calls struct{ reads, writes, leases, engineReads int }
 
-// counted is a store and an engine client that count their calls.
-type counted struct {
+// countingClient is a store and an engine client that counts its calls.
+type countingClient struct {
 	*memory.Store
 	*orderstest.Client
-	n *calls
+	calls *calls
 }
 
-func (c counted) Get(ctx context.Context, key string) (store.KV, bool, error) {
-	c.n.reads++
+func (c countingClient) Get(ctx context.Context, key string) (store.KV, bool, error) {
+	c.calls.reads++
 	return c.Store.Get(ctx, key)
 }
 
-func (c counted) Commit(ctx context.Context, t store.Txn) (int64, bool, error) {
-	c.n.writes++
+func (c countingClient) Commit(ctx context.Context, t store.Txn) (int64, bool, error) {
+	c.calls.writes++
 	return c.Store.Commit(ctx, t)
 }
 
-func (c counted) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	c.n.leases++
+func (c countingClient) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+	c.calls.leases++
 	return c.Store.Grant(ctx, ttl)
 }
 
-func (c counted) Renew(ctx context.Context, id store.LeaseID) error {
-	c.n.leases++
+func (c countingClient) Renew(ctx context.Context, id store.LeaseID) error {
+	c.calls.leases++
 	return c.Store.Renew(ctx, id)
 }
 
-func (c counted) Read(ctx context.Context, addr string) (orders.State, error) {
-	c.n.engineReads++
+func (c countingClient) Read(ctx context.Context, addr string) (orders.State, error) {
+	c.calls.engineReads++
 	return c.Client.Read(ctx, addr)
 }
 
-// contender is one node's part in a pool.
-type contender struct {
+// candidate is a node that competes for the issuer lease of a pool.
+type candidate struct {
 	keeper *lease.Keeper
 	issuer *orders.Issuer
 	dead   bool
 }
 
 type pool struct {
-	contenders []*contender
+	candidates []*candidate
 	engines    []*orderstest.Engine
 	targets    []orders.Target
 }
 
 type fleet struct {
-	size  size
-	now   time.Time
-	n     calls
-	pools []*pool
-	spec  orders.Spec
-	heap  int64 // bytes of all issuers
+	size       size
+	now        time.Time
+	calls      calls
+	pools      []*pool
+	spec       orders.Spec
+	issuerHeap int64 // heap bytes of all issuers and standbys
 }
 
 func newFleet(sz size) *fleet {
@@ -99,21 +99,21 @@
 		}
 		f.pools = append(f.pools, p)
 	}
-	before := heap()
+	before := heapInUse()
 	for i, p := range f.pools {
 		for _, node := range []string{"a", "b"} {
-			p.contenders = append(p.contenders, newContender(counted{s, client, &f.n}, fmt.Sprintf("pool-%d", i), node, clock))
+			p.candidates = append(p.candidates, newCandidate(countingClient{s, client, &f.calls}, fmt.Sprintf("pool-%d", i), node, clock))
 		}
 	}
 	f.run(time.Minute, nil)
-	f.heap = heap() - before
+	f.issuerHeap = heapInUse() - before
 	return f
 }
 
-func newContender(c counted, name, node string, clock func() time.Time) *contender {
+func newCandidate(c countingClient, name, node string, clock func() time.Time) *candidate {
 	reg := prometheus.NewRegistry()
 	k := lease.NewKeeper(c, lease.DefaultConfig(), orders.Duty("r", name), node, lease.NewMetrics(reg), clock)
-	return &contender{keeper: k, issuer: orders.NewIssuer(orders.Deps{
+	return &candidate{keeper: k, issuer: orders.NewIssuer(orders.Deps{
 		Node: node, Region: "r", Limits: orders.DefaultLimits(), Store: c, Client: c,
 		Metrics: orders.NewMetrics(reg), Log: log.New(io.Discard), Now: clock,
 	}, name, k)}
@@ -125,13 +125,14 @@
 	}}
 }
 
-// run goes on for d or until done, and returns how long it took.
+// run advances virtual time by d, or until done returns true, and returns the time
+// that passed.
 func (f *fleet) run(d time.Duration, done func() bool) time.Duration {
 	start := f.now
 	for f.now.Sub(start) < d && (done == nil || !done()) {
 		f.now = f.now.Add(step)
 		for _, p := range f.pools {
-			for _, c := range p.contenders {
+			for _, c := range p.candidates {
 				f.tick(p, c)
 			}
 		}
@@ -139,7 +140,7 @@
 	return f.now.Sub(start)
 }
 
-func (f *fleet) tick(p *pool, c *contender) {
+func (f *fleet) tick(p *pool, c *candidate) {
 	if c.dead {
 		return
 	}
@@ -162,28 +163,28 @@
 
 func (f *fleet) measure(context.Context) row {
 	r := row{pools: f.size.pools, engines: f.size.engines}
-	r.heapKB = float64(f.heap) / 1024 / float64(f.size.pools)
-	f.run(longest, f.converged) // from empty
+	r.heapKB = float64(f.issuerHeap) / 1024 / float64(f.size.pools)
+	f.run(maxWait, f.converged) // initial load: engines start without a model
 	f.run(time.Minute, nil)
 
-	before, cpu := f.n, time.Now()
+	before, cpu := f.calls, time.Now()
 	f.run(settledTime, nil)
 	r.cpuMicros = perSecond(int(time.Since(cpu).Microseconds())) / float64(f.size.pools)
-	r.storeReads = perSecond(f.n.reads - before.reads)
-	r.storeWrites = perSecond(f.n.writes - before.writes)
-	r.leaseCalls = perSecond(f.n.leases - before.leases)
-	r.engineReads = perSecond(f.n.engineReads - before.engineReads)
+	r.storeReads = perSecond(f.calls.reads - before.reads)
+	r.storeWrites = perSecond(f.calls.writes - before.writes)
+	r.leaseCalls = perSecond(f.calls.leases - before.leases)
+	r.engineReads = perSecond(f.calls.engineReads - before.engineReads)
 
 	f.setVersion(2)
-	before = f.n
-	r.rollOut = f.run(longest, f.converged).Seconds()
-	r.writesRolling = float64(f.n.writes-before.writes) / r.rollOut
+	before = f.calls
+	r.rollOut = f.run(maxWait, f.converged).Seconds()
+	r.writesRolling = float64(f.calls.writes-before.writes) / r.rollOut
 	r.takeover = f.takeover().Seconds()
 	return r
 }
 
-// takeover kills the issuer of the first pool in mid-term, asks for another
-// version, and returns the time to the standby's first order.
+// takeover kills the issuer of the first pool while it holds the lease, changes the
+// desired version, and returns the time until the standby's first order.
 func (f *fleet) takeover() time.Duration {
 	p := f.pools[0]
 	sent := func() int {
@@ -193,20 +194,21 @@
 		}
 		return n
 	}
-	for _, c := range p.contenders {
+	for _, c := range p.candidates {
 		if _, ok := c.keeper.Held(); ok {
 			c.dead = true
 		}
 	}
 	f.setVersion(3)
 	before := sent()
-	return f.run(longest, func() bool { return sent() > before })
+	return f.run(maxWait, func() bool { return sent() > before })
 }
 
 func perSecond(n int) float64 { return float64(n) / settledTime.Seconds() }
 
-// heap returns the bytes in use once finalizers have run.
-func heap() int64 {
+// heapInUse returns the heap bytes in use. It collects garbage twice so that memory
+// with finalizers is freed.
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/lab/measure/orders/section.go
+++ b/lab/measure/orders/section.go
@@ -1,6 +1,7 @@
-// Package orders measures on virtual time what the issuers of orders cost:
-// calls to the store and to engines, processor time and memory, the length of
-// a roll-out and of a take-over.
+// Package orders measures on virtual time what the issuers of orders to engines
+// cost: calls to the store and to engines, CPU time and memory, and the duration
+// of a roll-out and of a take-over by the standby. It also measures the size of
+// the calls to an engine over TCP.
 package orders
 
 import (
@@ -16,10 +17,11 @@
 // standby.
 type size struct{ pools, engines int }
 
-// sizes end in the pools of seven regions with four models each.
+// sizes are the measured fleets; the last one has seven regions with four models
+// each, one pool per region and model.
 var sizes = []size{{1, 18}, {7, 53}, {28, 196}}
 
-// Section is the measurement.
+// Section is the measurement "orders".
 type Section struct{}
 
 // Name implements measure.Section.
@@ -46,16 +48,17 @@
 		last.pools, last.engines, last.storeReads, last.storeWrites, last.leaseCalls, last.rollOut), nil
 }
 
-// row is the cost of a fleet. Rates are of all issuers and standbys together.
+// row is the cost of the issuers of a fleet. Rates are totals of all issuers and
+// standbys.
 type row struct {
 	pools, engines                      int
-	storeReads, storeWrites, leaseCalls float64 // a second, settled
-	engineReads                         float64 // a second, settled
-	writesRolling                       float64 // a second, while rolling out
-	cpuMicros                           float64 // of one issuer and its standby, a second, settled
+	storeReads, storeWrites, leaseCalls float64 // per second, without changes
+	engineReads                         float64 // per second, without changes
+	writesRolling                       float64 // per second, during a roll-out
+	cpuMicros                           float64 // per second, of one issuer and its standby, without changes
 	heapKB                              float64 // of one issuer and its standby
 	rollOut                             float64 // seconds
-	takeover                            float64 // seconds from a killed issuer to the first order
+	takeover                            float64 // seconds from the issuer's death to the standby's first order
 }
 
 // Fields implements measure.Row.
--- a/lab/measure/orders/wire.go
+++ b/lab/measure/orders/wire.go
@@ -11,7 +11,7 @@
 	"github.com/knapweedgw/knapweedgw/orders"
 )
 
-// countingListener counts the payload bytes of its connections.
+// countingListener counts the payload bytes that its connections receive and send.
 type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// wireRow is the payload of one call over TCP, headers included, as the
-// issuer sees it.
+// wireRow holds the TCP payload bytes, HTTP headers included, of a read and of an
+// order. Out is what the issuer sends, in what it receives.
 type wireRow struct{ readOut, readIn, orderOut, orderIn int64 }
 
 // Fields implements measure.Row.
