--- a/lab/measure/fanout/clock.go
+++ b/lab/measure/fanout/clock.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// clock runs scheduled work in the order of virtual time.
+// clock runs scheduled functions in the order of virtual time.
 type clock struct {
 	now   time.Duration
 	seq   int
 	queue eventQueue
 }
 
+// event is a function scheduled at a virtual time.
 type event struct {
 	at  time.Duration
 	seq int // keeps the order of events at the same time
 	do  func()
 }
 
-// after schedules work.
+// after schedules do to run after d.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.queue, event{c.now + d, c.seq, do})
 }
 
-// every repeats work until it returns false.
+// every runs do after each interval until it returns false.
 func (c *clock) every(interval func() time.Duration, do func() bool) {
 	c.after(interval(), func() {
 		if do() {
@@ -33,7 +34,7 @@
 	})
 }
 
-// run works until the time given.
+// run runs the events up to and including the time until.
 func (c *clock) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
@@ -43,6 +44,7 @@
 	c.now = until
 }
 
+// eventQueue is a heap of events, earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/lab/measure/fanout/exchange.go
+++ b/lab/measure/fanout/exchange.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// holdTimeout and seedTimeout are those of the follower.
+	// holdTimeout and seedTimeout have the values of the follower's timeouts.
 	holdTimeout = time.Second
 	seedTimeout = time.Second
-	// gossipFanout is the number of nodes that each node tells of a revision.
+	// gossipFanout is the number of random nodes to which a node announces a revision.
 	gossipFanout = 4
 )
 
-// hint says that a node may hold more.
+// hint is a pending pull from a node that announced a higher head.
 type hint struct {
 	from  membership.Node
 	head  int64
 	tries int
 }
 
-// exchange is the way in which some nodes watch the store, and nodes tell each
-// other of a new head and pull what they lack.
+// exchange is a strategy in which some nodes watch the store, and nodes announce a
+// new head to each other and pull the records that they lack.
 type exchange struct {
 	s         *simulation
 	w         watcher
-	watches   func(*node) bool                             // whether a node has the duty
-	announces func(*node) (first, later []membership.Node) // whom a node tells of a new head
+	watches   func(*node) bool                             // whether a node has the duty to watch the store
+	announces func(*node) (first, later []membership.Node) // the nodes to which a node announces a new head
 }
 
-// newRelays returns the way of the follower.
-func newRelays(s *simulation) way {
+// newRelays returns the strategy of the product's follower: the relays of each
+// failure domain watch the store and announce new heads.
+func newRelays(s *simulation) strategy {
 	e := newExchange(s)
 	e.watches = s.fleet.isRelay
 	e.announces = func(n *node) (first, later []membership.Node) {
@@ -45,9 +46,9 @@
 	return e
 }
 
-// newGossip returns the way in which the two acceptors watch the store and
-// every node tells a few random others.
-func newGossip(s *simulation) way {
+// newGossip returns the strategy in which the two acceptors watch the store and
+// every node announces a new head to gossipFanout random others.
+func newGossip(s *simulation) strategy {
 	e := newExchange(s)
 	e.watches = s.fleet.isAcceptor
 	e.announces = func(n *node) (first, later []membership.Node) {
@@ -64,7 +65,7 @@
 
 func newExchange(s *simulation) *exchange {
 	e := &exchange{s: s}
-	e.w = watcher{s: s, onChange: e.advanced, pullNear: e.pullNear}
+	e.w = watcher{s: s, onChange: e.onAdvance, pullFromPeer: e.pullFromPeer}
 	return e
 }
 
@@ -87,8 +88,8 @@
 	})
 }
 
-// pullNear pulls from the other relay or a peer, then goes on.
-func (e *exchange) pullNear(n *node, then func()) {
+// pullFromPeer pulls from the other relay or a peer, then calls then.
+func (e *exchange) pullFromPeer(n *node, then func()) {
 	m, ok := duty.AntiEntropyPeer(e.s.fleet.view(n), 0, e.s.rnd)
 	if !ok {
 		then()
@@ -133,16 +134,17 @@
 	})
 }
 
-func (e *exchange) committed() {
+func (e *exchange) onCommit() {
 	for _, n := range e.s.fleet.nodes {
 		if n.alive && n.watching {
-			e.w.committed(n)
+			e.w.onCommit(n)
 		}
 	}
 }
 
-// advanced announces a node's new head and serves it when it may.
-func (e *exchange) advanced(n *node) {
+// onAdvance announces a node's new head and serves it once another node of the
+// region has confirmed it, or after holdTimeout.
+func (e *exchange) onAdvance(n *node) {
 	h := n.state.Head()
 	e.serve(n)
 	if h <= n.announced {
@@ -167,15 +169,16 @@
 	}
 }
 
-// announceTo tries until the node answers or a newer head makes it needless.
+// announceTo announces a head to a node. It retries without an answer, up to
+// follower.HintTries attempts and while the head is still the newest.
 func (e *exchange) announceTo(n *node, m membership.Node, h int64, try int) {
 	e.s.call(n, m, e.s.headBytes(h), func(o *node) (int, func()) {
 		e.confirm(o, n, h)
-		theirs := o.state.Head()
-		if h > theirs {
+		peerHead := o.state.Head()
+		if h > peerHead {
 			e.hint(o, hint{from: n.member, head: h})
 		}
-		return e.s.headBytes(theirs), func() { e.confirm(n, o, theirs) }
+		return e.s.headBytes(peerHead), func() { e.confirm(n, o, peerHead) }
 	}, func() {
 		if try < follower.HintTries && n.state.Head() == h {
 			e.announceTo(n, m, h, try+1)
@@ -183,23 +186,24 @@
 	})
 }
 
-// hint queues a pull.
+// hint queues a pull and starts it if no other is in progress.
 func (e *exchange) hint(n *node, h hint) {
 	n.hints = append(n.hints, h)
 	if len(n.hints) == 1 {
-		e.follow(n)
+		e.processHints(n)
 	}
 }
 
-// follow works on the first hint, then on the next.
-func (e *exchange) follow(n *node) {
+// processHints pulls for the first hint, then for the next ones. It skips a hint whose
+// head is confirmed already.
+func (e *exchange) processHints(n *node) {
 	if len(n.hints) == 0 {
 		return
 	}
 	h := n.hints[0]
 	next := func() {
 		n.hints = n.hints[1:]
-		e.follow(n)
+		e.processHints(n)
 	}
 	if n.confirmed >= h.head {
 		next()
@@ -208,8 +212,9 @@
 	e.pull(n, h, next)
 }
 
-// pull takes over what the other node holds beyond this node's head, then
-// calls done.
+// pull fetches what the other node holds beyond this node's head, repeats until
+// nothing new comes, and calls done. A pull that fails is queued again if it has
+// attempts left.
 func (e *exchange) pull(n *node, h hint, done func()) {
 	since := n.state.Head()
 	e.s.call(n, h.from, e.s.headBytes(since), func(o *node) (int, func()) {
@@ -222,11 +227,11 @@
 			e.confirm(n, o, d.Through)
 			n.state.Apply(d)
 			if n.state.Head() > since {
-				e.advanced(n)
+				e.onAdvance(n)
 				e.pull(n, h, done)
 				return
 			}
-			e.seekHolder(n)
+			e.announceUnconfirmed(n)
 			if done != nil {
 				done()
 			}
@@ -241,8 +246,9 @@
 	})
 }
 
-// seekHolder tells one node of the region of what came from elsewhere.
-func (e *exchange) seekHolder(n *node) {
+// announceUnconfirmed announces a head that no other node of the region has confirmed
+// to one node of the region.
+func (e *exchange) announceUnconfirmed(n *node) {
 	if n.confirmed >= n.state.Head() {
 		return
 	}
@@ -251,8 +257,8 @@
 	}
 }
 
-// confirm notes that another node of the region holds a revision, as the
-// follower does; no node is alone in its region here.
+// confirm records that another node of the region holds a revision, as the follower
+// does. Unlike there, no node is the only one of its region here.
 func (e *exchange) confirm(n, other *node, revision int64) {
 	if n.member.Region != other.member.Region {
 		return
@@ -261,6 +267,7 @@
 	e.serve(n)
 }
 
+// serve serves a node's head if it is confirmed.
 func (e *exchange) serve(n *node) {
 	if n.ready && n.confirmed >= n.state.Head() {
 		e.s.serve(n)
--- a/lab/measure/fanout/fleet.go
+++ b/lab/measure/fanout/fleet.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// viewClasses is the number of different membership views at a time.
-	viewClasses = 8
-	// maxViewLag is the longest time until a view shows a start or an end.
+	// viewVariants is the number of different membership views at a time.
+	viewVariants = 8
+	// maxViewLag is the longest time until a view shows that a node started or ended.
 	maxViewLag = 5 * time.Second
-	// replacementTime is how long a VM that is replaced stays away.
+	// replacementTime is the time between the end of a VM and the start of its
+	// replacement.
 	replacementTime = 30 * time.Second
 )
 
@@ -24,26 +25,27 @@
 type node struct {
 	slot      int
 	member    membership.Node
-	class     int
+	variant   int
 	alive     bool
 	started   time.Duration
 	state     accepted.State
 	served    int64
 	confirmed int64
-	ready     bool // it may serve
+	ready     bool // it may serve settings
 	watching  bool // it watches the store
 	announced int64
-	hints     []hint // the first is followed
-	bytes     int64  // sent and received
+	hints     []hint // the first one is being processed
+	bytes     int64  // sent and received by this VM
 }
 
-// fleet holds the nodes and what each view class believes of them.
+// fleet holds the nodes and the membership views. Each node has one of the view
+// variants.
 type fleet struct {
 	clock   *clock
 	rnd     *rand.Rand
 	nodes   []*node // by slot
 	byID    map[string]*node
-	views   [viewClasses][]membership.Node
+	views   [viewVariants][]membership.Node
 	starts  int
 	onStart func(*node)
 	onEnd   func(*node)
@@ -57,8 +59,8 @@
 		n := f.newNode(slot, membership.Node{
 			FailureDomain: fmt.Sprintf("domain-%02d", domain), Region: fmt.Sprintf("region-%d", region),
 		})
-		for class := range f.views {
-			f.views[class] = append(f.views[class], n.member)
+		for variant := range f.views {
+			f.views[variant] = append(f.views[variant], n.member)
 		}
 	}
 	return f
@@ -70,7 +72,7 @@
 	place.ID = fmt.Sprintf("vm-%03d-%05d", slot, f.starts)
 	place.State = membership.Alive
 	n := &node{
-		slot: slot, member: place, class: f.rnd.IntN(viewClasses),
+		slot: slot, member: place, variant: f.rnd.IntN(viewVariants),
 		alive: true, started: f.clock.now, served: -1,
 	}
 	if slot == len(f.nodes) {
@@ -81,9 +83,9 @@
 	return n
 }
 
-// view returns what a node believes; it always knows itself.
+// view returns a node's membership view, in which the node itself is always current.
 func (f *fleet) view(n *node) *membership.View {
-	nodes := f.views[n.class]
+	nodes := f.views[n.variant]
 	if nodes[n.slot] != n.member {
 		nodes = slices.Clone(nodes)
 		nodes[n.slot] = n.member
@@ -91,48 +93,50 @@
 	return &membership.View{Self: n.member.ID, Nodes: nodes}
 }
 
-// show lets each view class see a slot's new state, each after its own lag.
-func (f *fleet) show(slot int, m membership.Node) {
-	for class := range f.views {
+// propagate sets a slot's new state in each view variant after a random lag, unless
+// the view holds a higher incarnation by then.
+func (f *fleet) propagate(slot int, m membership.Node) {
+	for variant := range f.views {
 		lag := time.Duration(f.rnd.Int64N(int64(maxViewLag)))
 		f.clock.after(lag, func() {
-			if f.views[class][slot].Incarnation > m.Incarnation {
+			if f.views[variant][slot].Incarnation > m.Incarnation {
 				return
 			}
-			nodes := slices.Clone(f.views[class])
+			nodes := slices.Clone(f.views[variant])
 			nodes[slot] = m
-			f.views[class] = nodes
+			f.views[variant] = nodes
 		})
 	}
 }
 
-// churn replaces VMs so that the given share is away at any time.
+// churn replaces random VMs so that on average the given share is down.
 func (f *fleet) churn(share float64) {
 	mean := float64(replacementTime) / (share * float64(len(f.nodes)))
 	interval := func() time.Duration { return time.Duration(f.rnd.ExpFloat64() * mean) }
 	f.clock.every(interval, func() bool {
 		if n := f.nodes[f.rnd.IntN(len(f.nodes))]; n.alive {
-			f.replace(n)
+			f.replaceNode(n)
 		}
 		return true
 	})
 }
 
-func (f *fleet) replace(n *node) {
+// replaceNode ends a VM and starts a new one in its slot after replacementTime.
+func (f *fleet) replaceNode(n *node) {
 	n.alive = false
 	f.onEnd(n)
 	n.state = accepted.State{}
-	gone := n.member
-	gone.State = membership.Dead
-	gone.Incarnation++
-	f.show(n.slot, gone)
+	dead := n.member
+	dead.State = membership.Dead
+	dead.Incarnation++
+	f.propagate(n.slot, dead)
 	f.clock.after(replacementTime, func() {
 		delete(f.byID, n.member.ID)
-		place := gone
+		place := dead
 		place.Incarnation++
-		fresh := f.newNode(n.slot, place)
-		f.show(n.slot, fresh.member)
-		f.onStart(fresh)
+		replacement := f.newNode(n.slot, place)
+		f.propagate(n.slot, replacement.member)
+		f.onStart(replacement)
 	})
 }
 
--- a/lab/measure/fanout/network.go
+++ b/lab/measure/fanout/network.go
@@ -12,13 +12,13 @@
 const (
 	// envelopeBytes is what JSON-RPC, its framing and TCP/IP headers add to
 	// the parameters or the result of a call.
-	envelopeBytes = 52 + 1 + 70
-	nearLatency   = 500 * time.Microsecond
-	farLatency    = 20 * time.Millisecond // between regions; assumed
-	lossShare     = 0.01
+	envelopeBytes      = 52 + 1 + 70
+	regionLatency      = 500 * time.Microsecond
+	crossRegionLatency = 20 * time.Millisecond // assumed
+	messageLoss        = 0.01
 )
 
-// head is the message of an announcement or a pull, as the follower sends it.
+// head is the message of an announcement or a pull in the follower's encoding.
 type head struct {
 	Head int64  `json:"head"`
 	From string `json:"from"`
@@ -34,20 +34,21 @@
 	return envelopeBytes + frame + len(d.Records)*s.recordBytes
 }
 
-// storeBytes is the size of records from the store, whose JSON mapping has
-// values in base64.
+// storeBytes returns the size of records read from the store, whose JSON mapping
+// encodes values in base64, a factor of 4/3.
 func (s *simulation) storeBytes(d accepted.Delta) int { return s.deltaBytes(d) * 4 / 3 }
 
 func (s *simulation) latency(a, b *node) time.Duration {
 	if a.member.Region == b.member.Region {
-		return nearLatency
+		return regionLatency
 	}
-	return farLatency
+	return crossRegionLatency
 }
 
 // call sends a request and its answer, each of which may be lost. answer runs
-// at the other node and returns the answer's size and what to do with it at
-// the caller; failed runs at the caller after the timeout, if it is given.
+// at the other node and returns the answer's size and a function that processes
+// the answer at the caller. failed, which may be nil, runs at the caller after
+// follower.HintTimeout if no answer comes.
 func (s *simulation) call(from *node, to membership.Node, size int, answer func(*node) (int, func()), failed func()) {
 	s.count(from, size)
 	other, ok := s.fleet.byID[to.ID]
@@ -66,28 +67,30 @@
 			return
 		}
 		s.count(other, size)
-		back, then := answer(other)
-		s.count(other, back)
+		answerSize, then := answer(other)
+		s.count(other, answerSize)
 		if s.lost() {
 			fail()
 			return
 		}
 		s.clock.after(s.latency(from, other), func() {
 			s.alive(from, func() {
-				s.count(from, back)
+				s.count(from, answerSize)
 				then()
 			})
 		})
 	})
 }
 
+// count adds bytes to a node's traffic and to the total.
 func (s *simulation) count(n *node, size int) {
 	n.bytes += int64(size)
 	s.bytes += int64(size)
 }
 
-func (s *simulation) lost() bool { return s.rnd.Float64() < lossShare }
+func (s *simulation) lost() bool { return s.rnd.Float64() < messageLoss }
 
+// alive calls do if the node is alive.
 func (s *simulation) alive(n *node, do func()) {
 	if n.alive {
 		do()
--- a/lab/measure/fanout/section.go
+++ b/lab/measure/fanout/section.go
@@ -1,8 +1,8 @@
 // Package fanout measures on virtual time how an accepted revision of the
-// settings reaches every node: by a watch a node, by relays in each failure
-// domain, and by gossip. It drives the product's choice of relays and peers,
-// its revision rule and its deltas; the store, the network and the membership
-// views are modelled.
+// settings reaches every node: by a store watch of every node, by relays in each
+// failure domain, and by gossip. It runs the product's selection of relays and
+// peers, its ordering of revisions and its deltas; the store, the network and the
+// membership views are simulated.
 package fanout
 
 import (
@@ -16,13 +16,15 @@
 
 const (
 	runTime     = 15 * time.Minute
-	settleTime  = time.Minute // after the last change counted
+	settleTime  = time.Minute // changes written in the last settleTime of a run aren't counted
 	outageBegin = 6 * time.Minute
 	outageTime  = 2 * time.Minute
-	// busyAge is the age from which a VM counts for the busiest, so that its
-	// own start is spread over some time.
+	// busyAge is the age above which a VM may count as the busiest, so that the
+	// traffic of its start is averaged over a longer time.
 	busyAge = 5 * time.Minute
-	chosen  = "relays"
+	// productStrategy is the strategy that the product uses; only this one is
+	// measured with an outage of the store.
+	productStrategy = "relays"
 )
 
 // Section is the measurement "settings".
@@ -37,35 +39,35 @@
 	{Nodes: 370, Domains: 20, Regions: 7, Teams: 480},
 }
 
-var ways = []struct {
+var strategies = []struct {
 	name string
-	make func(*simulation) way
+	make func(*simulation) strategy
 }{
 	{"watch a node", newWatchEach},
 	{"gossip", newGossip},
-	{chosen, newRelays},
+	{productStrategy, newRelays},
 }
 
-// row is the result of one run.
+// row is the result of one run of a strategy.
 type row struct {
-	way       string
+	strategy  string
 	nodes     int
 	outage    bool
 	changes   int
 	p50, p99  time.Duration
 	worst     time.Duration
-	open      int // changes not in force everywhere at the end
+	open      int // changes not served by every node at the end
 	readRate  float64
 	writeRate float64
-	meanRate  float64 // control bytes in and out, a node
-	maxRate   float64 // the busiest VM
-	reverted  int
+	meanRate  float64 // control bytes in and out, per node and second
+	maxRate   float64 // control bytes in and out of the busiest VM, per second
+	reverted  int     // times that a slot served a lower revision than before
 }
 
 // Fields implements measure.Row.
 func (r row) Fields() []measure.Field {
 	return []measure.Field{
-		{Name: "way", Value: r.way}, {Name: "nodes", Value: r.nodes}, {Name: "outage", Value: r.outage},
+		{Name: "way", Value: r.strategy}, {Name: "nodes", Value: r.nodes}, {Name: "outage", Value: r.outage},
 		{Name: "changes", Value: r.changes}, {Name: "p50_s", Value: r.p50.Seconds()},
 		{Name: "p99_s", Value: r.p99.Seconds()}, {Name: "worst_s", Value: r.worst.Seconds()},
 		{Name: "open", Value: r.open}, {Name: "reads_per_s", Value: r.readRate},
@@ -78,16 +80,16 @@
 func (sec Section) Run(ctx context.Context, rep *measure.Reporter, seed uint64) (string, error) {
 	var last row
 	for _, outage := range []bool{true, false} {
-		for _, w := range ways {
-			if outage && w.name != chosen {
+		for _, w := range strategies {
+			if outage && w.name != productStrategy {
 				continue
 			}
 			for _, size := range sizes {
 				if ctx.Err() != nil {
 					return "", ctx.Err()
 				}
-				last = measureWay(size, seed, outage, w.make)
-				last.way = w.name
+				last = measureStrategy(size, seed, outage, w.make)
+				last.strategy = w.name
 				if err := rep.Add(sec.Name(), last); err != nil {
 					return "", err
 				}
@@ -98,8 +100,8 @@
 		last.nodes, last.p99.Seconds(), last.worst.Seconds(), last.readRate, last.meanRate, last.reverted), nil
 }
 
-func measureWay(size Size, seed uint64, outage bool, newWay func(*simulation) way) row {
-	s := newSimulation(size, seed, newWay)
+func measureStrategy(size Size, seed uint64, outage bool, newStrategy func(*simulation) strategy) row {
+	s := newSimulation(size, seed, newStrategy)
 	if outage {
 		s.clock.after(outageBegin, func() { s.outage = true })
 		s.clock.after(outageBegin+outageTime, func() { s.outage = false })
@@ -120,7 +122,7 @@
 			r.maxRate = max(r.maxRate, float64(n.bytes)/lived.Seconds())
 		}
 	}
-	var took []time.Duration
+	var durations []time.Duration
 	for _, c := range s.changes {
 		if c.written > s.clock.now-settleTime {
 			break
@@ -129,10 +131,10 @@
 			r.open++
 			continue
 		}
-		took = append(took, c.took)
+		durations = append(durations, c.duration)
 	}
-	slices.Sort(took)
-	r.changes = len(took)
-	r.p50, r.p99, r.worst = measure.Quantile(took, 0.50), measure.Quantile(took, 0.99), measure.Quantile(took, 1)
+	slices.Sort(durations)
+	r.changes = len(durations)
+	r.p50, r.p99, r.worst = measure.Quantile(durations, 0.50), measure.Quantile(durations, 0.99), measure.Quantile(durations, 1)
 	return r
 }
--- a/lab/measure/fanout/watch.go
+++ b/lab/measure/fanout/watch.go
@@ -9,15 +9,16 @@
 
 const retryDelay = time.Second
 
-// watcher follows the store on behalf of nodes.
+// watcher keeps nodes up to date with the store by a watch.
 type watcher struct {
 	s        *simulation
-	onChange func(*node) // the node's head rose
-	// pullNear pulls from a peer, then goes on; nil where peers aren't asked.
-	pullNear func(n *node, then func())
+	onChange func(*node) // called after a read or an event of the watch
+	// pullFromPeer pulls from a peer, then calls then; nil if the strategy doesn't
+	// pull from peers.
+	pullFromPeer func(n *node, then func())
 }
 
-// begin catches up and watches until the node's duty ends.
+// begin reads the current state and watches the store until the node's duty ends.
 func (w *watcher) begin(n *node, duty func(*node) bool) {
 	n.watching = true
 	w.catchUp(n)
@@ -39,41 +40,43 @@
 	})
 }
 
-// catchUp reads the head and, if it is above the node's, the records.
+// catchUp reads the store's head and, if it is above the node's, the records.
 func (w *watcher) catchUp(n *node) {
-	again := func() { w.s.clock.after(retryDelay, func() { w.s.alive(n, func() { w.catchUp(n) }) }) }
+	retry := func() { w.s.clock.after(retryDelay, func() { w.s.alive(n, func() { w.catchUp(n) }) }) }
 	w.s.read(n, func() {
-		w.s.count(n, w.s.headBytes(w.s.truth.Head()))
-		w.fill(n, again)
-	}, again)
+		w.s.count(n, w.s.headBytes(w.s.committedState.Head()))
+		w.load(n, retry)
+	}, retry)
 }
 
-// fill brings a node to the head of the store.
-func (w *watcher) fill(n *node, again func()) {
+// load brings a node to the store's head: from a peer if the node holds a revision
+// already and the strategy allows it, then with a full read if it is still behind.
+func (w *watcher) load(n *node, retry func()) {
 	list := func() {
-		if w.s.truth.Head() <= n.state.Head() {
+		if w.s.committedState.Head() <= n.state.Head() {
 			w.onChange(n)
 			return
 		}
 		w.s.read(n, func() {
-			all := accepted.Delta{Through: w.s.truth.Head()}
-			for _, r := range w.s.truth.Records() {
+			all := accepted.Delta{Through: w.s.committedState.Head()}
+			for _, r := range w.s.committedState.Records() {
 				all.Records = append(all.Records, r)
 			}
 			w.s.count(n, w.s.storeBytes(all))
 			n.state.Apply(all)
 			w.onChange(n)
-		}, again)
+		}, retry)
 	}
-	if w.pullNear == nil || n.state.Head() == 0 || w.s.truth.Head() <= n.state.Head() {
+	if w.pullFromPeer == nil || n.state.Head() == 0 || w.s.committedState.Head() <= n.state.Head() {
 		list()
 		return
 	}
-	w.pullNear(n, list)
+	w.pullFromPeer(n, list)
 }
 
-// committed sends the last acceptance to a watching node.
-func (w *watcher) committed(n *node) {
+// onCommit delivers the last committed revision to a watching node, unless the event
+// is lost.
+func (w *watcher) onCommit(n *node) {
 	w.s.reads++
 	if w.s.lost() {
 		return
@@ -92,22 +95,22 @@
 	})
 }
 
-// watchEach is the way in which each node watches the store.
+// watchEach is the strategy in which each node watches the store.
 type watchEach struct {
 	s *simulation
 	w watcher
 }
 
-func newWatchEach(s *simulation) way {
+func newWatchEach(s *simulation) strategy {
 	return &watchEach{s: s, w: watcher{s: s, onChange: s.serve}}
 }
 
 func (w *watchEach) start(n *node) { w.w.begin(n, func(*node) bool { return true }) }
 
-func (w *watchEach) committed() {
+func (w *watchEach) onCommit() {
 	for _, n := range w.s.fleet.nodes {
 		if n.alive && n.watching {
-			w.w.committed(n)
+			w.w.onCommit(n)
 		}
 	}
 }
