--- a/lab/measure/claims/cost.go
+++ b/lab/measure/claims/cost.go
@@ -12,9 +12,9 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// Assumptions of the cost measurement. The brief gives 0.5 ms one way between
-// failure domains and a store that answers in milliseconds and takes several
-// hundred writes a second; the way between regions is assumed.
+// Assumptions of the cost measurement. The brief of the product gives a one-way
+// latency of 0.5 ms between failure domains and a store that answers in milliseconds
+// and accepts several hundred writes a second; the latency between regions is assumed.
 const (
 	nearOneWay    = 500 * time.Microsecond
 	farOneWay     = 25 * time.Millisecond
@@ -32,47 +32,47 @@
 	keysPerTrim = 128
 )
 
-// load is what a run of the cost measurement is asked to carry.
+// load is the load and the faults of one run of the cost measurement.
 type load struct {
 	nodes int
-	share float64 // of the requests, that may not be repeated
-	// splitViews is the share of entries that take another node for the owner.
+	share float64 // of the requests that may not be repeated
+	// splitViews is the share of entry nodes whose view names another owner.
 	splitViews float64
-	// The store refuses every call in [outFrom, outUntil).
-	outFrom, outUntil time.Duration
+	// The store refuses every call in [outageFrom, outageUntil).
+	outageFrom, outageUntil time.Duration
 }
 
 func (l load) claimsPerS() float64 { return requestsPerS * l.share }
 func (l load) regions() int        { return (l.nodes + nodesInRegion - 1) / nodesInRegion }
 
-// cost is what a run of the cost measurement showed, after the warm-up.
+// cost holds the results of one run of the cost measurement, after the warm-up.
 type cost struct {
 	writes, reads, conflicts, trims int
 	latencies, refusals             []time.Duration
 	values, valueBytes, maxValue    int
 	sentBytes                       int
-	keysKept, bytesKept             int
-	firstGrant                      time.Duration // after the outage, of the last shard
+	storeKeys, storeBytes           int
+	firstGrant                      time.Duration // from the end of the outage until the last shard grants
 }
 
-// bench carries a load on virtual time.
-type bench struct {
+// costSimulation runs a load on virtual time.
+type costSimulation struct {
 	*clock
 	load    load
 	store   *memory.Store
-	freeAt  time.Duration // when the store's writer is free
+	freeAt  time.Duration // time at which the store has finished its queued writes
 	cost    cost
-	granted [core.Shards]bool // since the outage ended
+	granted [core.Shards]bool // whether a shard has granted since the outage ended
 }
 
-func newBench(seed uint64, l load) *bench {
-	return &bench{clock: newClock(seed, 0), load: l, store: memory.New(func() time.Time { return time.Time{} })}
+func newCostSimulation(seed uint64, l load) *costSimulation {
+	return &costSimulation{clock: newClock(seed, 0), load: l, store: memory.New(func() time.Time { return time.Time{} })}
 }
 
-func (b *bench) measured() bool { return b.now >= costWarmUp }
+func (b *costSimulation) measured() bool { return b.now >= costWarmUp }
 
-// oneWay is the time from a region to another.
-func (b *bench) oneWay(from, to int) time.Duration {
+// oneWay returns the latency of a message from one region to another.
+func (b *costSimulation) oneWay(from, to int) time.Duration {
 	d := nearOneWay
 	if from != to {
 		d = farOneWay
@@ -80,32 +80,34 @@
 	return d + b.between(0, jitterOneWay)
 }
 
-func (b *bench) region(node int) int { return node % b.load.regions() }
+func (b *costSimulation) region(node int) int { return node % b.load.regions() }
 
-func (b *bench) out() bool { return b.now >= b.load.outFrom && b.now < b.load.outUntil }
+func (b *costSimulation) inOutage() bool {
+	return b.now >= b.load.outageFrom && b.now < b.load.outageUntil
+}
 
 // The store is in region 0.
 
-func (b *bench) list(region int, prefix string, done func(store.Page, error)) {
+func (b *costSimulation) list(region int, prefix string, done func(store.Page, error)) {
 	if b.measured() {
 		b.cost.reads++
 	}
 	b.after(b.oneWay(region, 0), func() {
 		page, err := b.store.List(context.Background(), prefix)
-		if b.out() {
+		if b.inOutage() {
 			page, err = store.Page{}, store.ErrUnavailable
 		}
 		b.after(b.oneWay(0, region), func() { done(page, err) })
 	})
 }
 
-// commit writes one transaction after those that wait at the store.
-func (b *bench) commit(region int, t store.Txn, done func(int64, bool, error)) {
+// commit queues one transaction at the store, which takes writeService for each.
+func (b *costSimulation) commit(region int, t store.Txn, done func(int64, bool, error)) {
 	if b.measured() {
 		b.count(t)
 	}
 	b.after(b.oneWay(region, 0), func() {
-		if b.out() {
+		if b.inOutage() {
 			b.after(b.oneWay(0, region), func() { done(0, false, store.ErrUnavailable) })
 			return
 		}
@@ -117,7 +119,7 @@
 	})
 }
 
-func (b *bench) count(t store.Txn) {
+func (b *costSimulation) count(t store.Txn) {
 	b.cost.writes++
 	for _, op := range t.Ops {
 		b.cost.sentBytes += len(op.Key) + len(op.Value)
@@ -131,8 +133,8 @@
 	}
 }
 
-// arrivals calls f with a fresh ask and its entry node, as Poisson arrivals.
-func (b *bench) arrivals(f func(entry int, a core.Ask)) {
+// arrivals calls f with a new claim request and its entry node, as Poisson arrivals.
+func (b *costSimulation) arrivals(f func(entry int, a core.Ask)) {
 	var next func()
 	n := uint64(0)
 	next = func() {
@@ -147,25 +149,26 @@
 	next()
 }
 
-func (b *bench) latency(since time.Duration) {
+func (b *costSimulation) latency(since time.Duration) {
 	if b.measured() {
 		b.cost.latencies = append(b.cost.latencies, b.now-since)
 	}
 }
 
-// kept counts what the store holds at the end.
-func (b *bench) kept() {
+// countStored records the keys and bytes that the store holds at the end.
+func (b *costSimulation) countStored() {
 	page, _ := b.store.List(context.Background(), "")
-	b.cost.keysKept = len(page.KVs)
+	b.cost.storeKeys = len(page.KVs)
 	for _, kv := range page.KVs {
-		b.cost.bytesKept += len(kv.Key) + len(kv.Value)
+		b.cost.storeBytes += len(kv.Key) + len(kv.Value)
 	}
 }
 
-// recordPerKey claims by creating a record for each key, replaces it at the
-// end, and deletes it after the retention with others of its node.
+// recordPerKey measures claims with one record per key: it is created by the claim,
+// replaced when the request ends, and deleted after the retention in one transaction
+// with others of the same entry node.
 func recordPerKey(seed uint64, l load) cost {
-	b := newBench(seed, l)
+	b := newCostSimulation(seed, l)
 	expired := make([][]string, l.nodes)
 	b.arrivals(func(entry int, a core.Ask) {
 		region, began := b.region(entry), b.now
@@ -188,11 +191,11 @@
 		})
 	})
 	b.run(costTime)
-	b.kept()
+	b.countStored()
 	return b.cost
 }
 
-// claimBytes is the size of a claim's record (core.TestRecordSizes).
+// claimBytes is the size of a claim's record, which core.TestRecordSizes measures.
 const claimBytes = 71
 
 func deleteAll(keys []string) (t store.Txn) {
@@ -202,13 +205,14 @@
 	return t
 }
 
-// grouped claims by the real Shard state machines.
+// grouped measures claims that core.Shard, the product's state machine, records in
+// groups.
 func grouped(seed uint64, l load) cost {
-	b := newBench(seed, l)
-	owners := make([][2]benchShard, core.Shards)
+	b := newCostSimulation(seed, l)
+	owners := make([][2]costShard, core.Shards)
 	for i := range owners {
 		for j := range owners[i] {
-			owners[i][j] = newBenchShard(b, i, j)
+			owners[i][j] = newCostShard(b, i, j)
 		}
 	}
 	b.arrivals(func(entry int, a core.Ask) {
@@ -231,56 +235,56 @@
 		})
 	})
 	b.run(costTime)
-	b.kept()
+	b.countStored()
 	for _, pair := range owners {
 		b.cost.conflicts += pair[0].shard.Counts.Conflicts + pair[1].shard.Counts.Conflicts
 	}
 	return b.cost
 }
 
-func (b *bench) replied(a core.Ask, r core.Reply, began time.Duration) {
+func (b *costSimulation) replied(a core.Ask, r core.Reply, began time.Duration) {
 	if r.Status != core.Decided {
 		b.cost.refusals = append(b.cost.refusals, b.now-began)
 		return
 	}
 	b.latency(began)
 	shard := a.Key.Shard()
-	if b.load.outUntil > 0 && b.now >= b.load.outUntil && !b.granted[shard] {
+	if b.load.outageUntil > 0 && b.now >= b.load.outageUntil && !b.granted[shard] {
 		b.granted[shard] = true
-		b.cost.firstGrant = max(b.cost.firstGrant, b.now-b.load.outUntil)
+		b.cost.firstGrant = max(b.cost.firstGrant, b.now-b.load.outageUntil)
 	}
 }
 
-// benchIO is what a shard runs in whose owner is in a region.
-type benchIO struct {
-	b      *bench
+// costEnv is the environment of a shard whose owner is in the given region.
+type costEnv struct {
+	b      *costSimulation
 	region int
 }
 
-func (o benchIO) time() core.Instant             { return o.b.now }
-func (o benchIO) wake(d time.Duration, f func()) { o.b.after(d, f) }
+func (o costEnv) time() core.Instant                 { return o.b.now }
+func (o costEnv) schedule(d time.Duration, f func()) { o.b.after(d, f) }
 
-func (o benchIO) list(prefix string, done func(store.Page, error)) { o.b.list(o.region, prefix, done) }
+func (o costEnv) list(prefix string, done func(store.Page, error)) { o.b.list(o.region, prefix, done) }
 
-func (o benchIO) commit(t store.Txn, done func(int64, bool, error)) { o.b.commit(o.region, t, done) }
+func (o costEnv) commit(t store.Txn, done func(int64, bool, error)) { o.b.commit(o.region, t, done) }
 
-// benchShard is a shard and the region of its owner.
-type benchShard struct {
+// costShard is a shard and the region of its owner.
+type costShard struct {
 	*stepper
 	region int
 }
 
-func newBenchShard(b *bench, number, view int) benchShard {
+func newCostShard(b *costSimulation, number, view int) costShard {
 	cfg := core.DefaultConfig()
-	cfg.Retention, cfg.GrantAge = costRetention, 0 // the rows scale with the retention
+	cfg.Retention, cfg.GrantAge = costRetention, 0 // costRow scales the stored bytes to the real retention
 	owner := int(routing.Hash(strconv.Itoa(number+core.Shards*view)) % uint64(b.load.nodes))
 	region := b.region(owner)
 	s := core.NewShard(number, cfg, func(core.Holder) bool { return true })
-	return benchShard{newStepper(benchIO{b, region}, s), region}
+	return costShard{newStepper(costEnv{b, region}, s), region}
 }
 
-// record records an outcome; it is sent again while the store is out.
-func (o benchShard) record(b *bench, e core.End) {
+// record sends an outcome to the owner, again after a second until it is recorded.
+func (o costShard) record(b *costSimulation, e core.End) {
 	o.end(e, endWait, func(r core.Reply) {
 		if r.Status != core.Recorded {
 			b.after(time.Second, func() { o.record(b, e) })
--- a/lab/measure/claims/entry.go
+++ b/lab/measure/claims/entry.go
@@ -6,49 +6,49 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// told is what a caller was told of a request.
-type told int
+// response is the answer that a caller gets to a request.
+type response int
 
 const (
-	toldNothing told = iota // no answer came
-	toldNotRun
-	toldRun
-	toldUnknown
-	toldInProgress
-	toldOutcomes
+	responseNone response = iota // no answer came
+	responseNotRun
+	responseRun
+	responseUnknown
+	responseInProgress
+	responseCount
 )
 
-// call is one request as it passes through its entry node.
+// call is the state of one request at its entry node.
 type call struct {
 	node      *node
 	attempt   *core.Attempt
-	reply     func(told)
+	reply     func(response)
 	began     core.Instant
 	sends     int
-	ranBefore int // runs of the key when the caller sent the request
+	ranBefore int // number of runs of the key when the caller sent the request
 }
 
-// callShare is the share of the time left that the first owner gets, and
-// ownerShare the share of that in which it must reply.
+// callShare is the share of the remaining time that the call to the first owner may
+// take, and ownerShare the share of a call's time in which the owner must reply.
 const (
 	callShare  = 0.6
 	ownerShare = 0.9
 )
 
 // serve handles a caller's request at a node.
-func (n *node) serve(key core.KeyID, ranBefore int, reply func(told)) {
-	w := n.w
-	w.attempts++
-	a := core.Ask{Key: key, Attempt: core.AttemptID(w.attempts), Holder: n.holder()}
-	c := &call{node: n, reply: reply, began: w.now, ranBefore: ranBefore}
-	c.attempt = core.NewAttempt(a, w.now, core.Forever, core.DefaultAttemptLimits())
-	w.hit(pointAsk, n)
+func (n *node) serve(key core.KeyID, ranBefore int, reply func(response)) {
+	h := n.history
+	h.attempts++
+	a := core.Ask{Key: key, Attempt: core.AttemptID(h.attempts), Holder: n.holder()}
+	c := &call{node: n, reply: reply, began: h.now, ranBefore: ranBefore}
+	c.attempt = core.NewAttempt(a, h.now, core.Forever, core.DefaultAttemptLimits())
+	h.reach(pointAsk, n)
 	c.ask()
 }
 
 func (c *call) ask() {
-	n, w := c.node, c.node.w
-	wait := max(0, c.attempt.Deadline()-w.now)
+	n, h := c.node, c.node.history
+	wait := max(0, c.attempt.Deadline()-h.now)
 	if c.attempt.Asked() == 0 {
 		wait = time.Duration(float64(wait) * callShare)
 	}
@@ -61,25 +61,25 @@
 		})
 	})
 	if !sent {
-		w.on(n, netDelayMin, func() { c.failed(tries, false) })
+		h.on(n, netDelayMin, func() { c.failed(tries, false) })
 		return
 	}
-	w.on(n, wait, func() { c.failed(tries, true) })
+	h.on(n, wait, func() { c.failed(tries, true) })
 }
 
 func (c *call) failed(tries int, seen bool) {
 	if tries == c.attempt.Asked() {
-		c.act(c.attempt.Failed(c.node.w.now, seen))
+		c.act(c.attempt.Failed(c.node.history.now, seen))
 	}
 }
 
 func (c *call) replied(r core.Reply) {
-	w := c.node.w
-	d := c.attempt.Replied(w.now, r)
-	if w.mutation == mutateLateGrant && d.Move == core.MoveNothing && r.Status == core.Decided && r.State == core.Granted {
+	h := c.node.history
+	d := c.attempt.Replied(h.now, r)
+	if h.mutation == mutateLateGrant && d.Move == core.MoveNothing && r.Status == core.Decided && r.State == core.Granted {
 		c.send()
 	}
-	if w.mutation == mutateFailOpen && d.Move == core.MoveRefuse {
+	if h.mutation == mutateFailOpen && d.Move == core.MoveRefuse {
 		c.send()
 		return
 	}
@@ -100,43 +100,43 @@
 	}
 }
 
-// refuse answers for an attempt that never had the claim.
+// refuse answers a request whose attempt was never granted the claim.
 func (c *call) refuse(clear bool) {
-	w := c.node.w
-	w.notRun[c.attempt.Ask.Attempt] = true
+	h := c.node.history
+	h.notRun[c.attempt.Ask.Attempt] = true
 	if clear {
-		w.result.Clear++
-		c.tell(toldNotRun)
+		h.result.Clear++
+		c.respond(responseNotRun)
 		return
 	}
-	c.tell(toldUnknown)
+	c.respond(responseUnknown)
 }
 
 func (c *call) verdict(s core.State) {
-	w := c.node.w
+	h := c.node.history
 	switch s {
 	case core.Granted:
-		w.hit(pointGrant, c.node)
-		w.on(c.node, w.between(0, time.Millisecond), c.check)
+		h.reach(pointGrant, c.node)
+		h.on(c.node, h.between(0, time.Millisecond), c.check)
 	case core.InProgress:
-		c.tell(toldInProgress)
+		c.respond(responseInProgress)
 	case core.Done:
-		c.tell(toldRun)
+		c.respond(responseRun)
 	default:
-		c.tell(toldUnknown)
+		c.respond(responseUnknown)
 	}
 }
 
-// check looks at the ticket right before the request is sent. The process may
-// be frozen or killed between the two.
+// check checks that the ticket is valid right before the request is sent. The process
+// may be frozen or killed between the check and the send.
 func (c *call) check() {
-	w := c.node.w
-	if !c.attempt.Valid(w.now) {
+	h := c.node.history
+	if !c.attempt.Valid(h.now) {
 		c.finish(core.NotRun)
 		return
 	}
-	w.hit(pointValid, c.node)
-	w.on(c.node, w.between(0, time.Millisecond), c.send)
+	h.reach(pointValid, c.node)
+	h.on(c.node, h.between(0, time.Millisecond), c.send)
 }
 
 // Behaviour of a target.
@@ -147,36 +147,36 @@
 	maxSends      = 3
 )
 
-// send passes the request to a target, which refuses it, runs it and answers,
-// or runs it and is gone.
+// send sends the request to a target, which refuses it, runs it and answers, or runs
+// it and dies without an answer.
 func (c *call) send() {
-	n, w := c.node, c.node.w
+	n, h := c.node, c.node.history
 	c.sends++
-	if w.now-c.began >= core.DefaultAttemptLimits().Life {
-		w.result.LateSends++
+	if h.now-c.began >= core.DefaultAttemptLimits().Life {
+		h.result.LateSends++
 	}
-	w.hit(pointSent, n)
-	arrive := w.between(netDelayMin, netDelayMax)
-	if w.chance(targetRefuses) {
-		w.on(n, 2*arrive, c.refused)
+	h.reach(pointSent, n)
+	arrive := h.between(netDelayMin, netDelayMax)
+	if h.chance(targetRefuses) {
+		h.on(n, 2*arrive, c.targetRefused)
 		return
 	}
 	outcome := core.Ran
-	if w.chance(targetDies) {
+	if h.chance(targetDies) {
 		outcome = core.Lost
 	}
-	w.after(arrive, func() {
-		w.ran(c.attempt.Ask)
-		w.hit(pointRun, n)
+	h.after(arrive, func() {
+		h.countRun(c.attempt.Ask)
+		h.reach(pointRun, n)
 	})
-	w.on(n, 2*arrive+w.between(0, runMax), func() {
-		w.hit(pointAnswer, n)
+	h.on(n, 2*arrive+h.between(0, runMax), func() {
+		h.reach(pointAnswer, n)
 		c.finish(outcome)
 	})
 }
 
-// refused tries another target under the same ticket.
-func (c *call) refused() {
+// targetRefused tries another target with the same ticket, up to maxSends sends.
+func (c *call) targetRefused() {
 	if c.sends < maxSends {
 		c.check()
 		return
@@ -185,33 +185,33 @@
 }
 
 func (c *call) finish(o core.Outcome) {
-	w := c.node.w
+	h := c.node.history
 	if e, ok := c.attempt.Finish(o); ok {
-		if w.mutation == mutateLostIsNotRun && o == core.Lost {
+		if h.mutation == mutateLostIsNotRun && o == core.Lost {
 			e.Outcome = core.NotRun
 		}
 		c.node.push(e)
 	}
 	switch o {
 	case core.NotRun:
-		c.tell(toldNotRun)
+		c.respond(responseNotRun)
 	case core.Ran:
-		c.tell(toldRun)
+		c.respond(responseRun)
 	default:
-		c.tell(toldUnknown)
+		c.respond(responseUnknown)
 	}
 }
 
 func (n *node) push(e core.End) {
 	n.ends.Push(e)
-	n.pumpEnds()
+	n.sendDueEnds()
 }
 
-// tell answers the caller.
-func (c *call) tell(t told) {
-	w := c.node.w
-	if t == toldNotRun {
-		w.refused(c)
+// respond answers the caller.
+func (c *call) respond(r response) {
+	h := c.node.history
+	if r == responseNotRun {
+		h.recordNotRun(c)
 	}
-	c.reply(t)
+	c.reply(r)
 }
--- a/lab/measure/claims/faults.go
+++ b/lab/measure/claims/faults.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// point is a moment in the life of a request at which a fault can strike.
+// point is a step in the processing of a request at which a fault can be injected.
 type point int
 
 const (
 	pointAsk       point = iota // before the owner is asked
-	pointCommit                 // the owner's transaction leaves
-	pointCommitted              // its result arrives
-	pointGrant                  // the entry holds the claim
-	pointValid                  // the ticket was looked at; next is the send
-	pointSent                   // the request leaves
-	pointRun                    // a target ran it
-	pointAnswer                 // its answer arrives at the entry
-	points
+	pointCommit                 // before the owner sends its transaction to the store
+	pointCommitted              // the owner has received the transaction's result
+	pointGrant                  // the entry node has been granted the claim
+	pointValid                  // the entry node has found the ticket valid and sends next
+	pointSent                   // before the request is sent to a target
+	pointRun                    // a target has run it
+	pointAnswer                 // the target's answer, or its loss, reaches the entry node
+	pointCount
 )
 
-// fault is what strikes.
+// fault is a kind of fault.
 type fault int
 
 const (
@@ -34,18 +34,18 @@
 	faultTwoViews
 	faultCutEntry
 	faultCutOwner
-	faultAnswerLost
+	faultResponseLost
 	faultTwoNodes
-	faults
+	faultCount
 )
 
-var faultNames = [faults]string{
+var faultNames = [faultCount]string{
 	"none", "entry killed", "entry frozen 10 s", "entry frozen 60 s", "owner killed", "owner paused 10 s",
 	"owner paused 60 s", "store out", "store slow", "store loses answers", "two views", "entry cut off",
 	"owner cut off", "response lost", "same key at two nodes",
 }
 
-// armed is a fault that strikes when a point is reached for the nth time.
+// armed is a fault to inject when a point is reached for the nth time.
 type armed struct {
 	fault fault
 	point point
@@ -59,24 +59,24 @@
 	outageMax   = 30 * time.Second
 )
 
-// hit strikes with the faults armed for a point. n is the entry or the owner
+// reach counts a point and injects the faults armed for it. n is the entry node or owner
 // that reached it.
-func (h *history) hit(p point, n *node) {
+func (h *history) reach(p point, n *node) {
 	h.hits[p]++
 	for i, a := range h.armed {
 		if a.point == p && a.nth == h.hits[p] {
 			h.armed[i].nth = 0
-			h.strike(a.fault, n)
+			h.inject(a.fault, n)
 		}
 	}
 }
 
-func (h *history) strike(f fault, n *node) {
+func (h *history) inject(f fault, n *node) {
 	until := h.now + h.between(time.Second, outageMax)
 	owner := n.owner(h.keys[0].Shard(), 0)
 	switch f {
 	case faultKillEntry:
-		h.after(0, func() { h.kill(n) }) // after what the process does now
+		h.after(0, func() { h.kill(n) }) // after the current step of the process
 	case faultFreezeEntry10:
 		n.frozenUntil = h.now + shortFreeze
 	case faultFreezeEntry60:
@@ -88,27 +88,27 @@
 	case faultPauseOwner60:
 		owner.frozenUntil = h.now + longFreeze
 	case faultStoreOut:
-		h.platform.outUntil = until
+		h.store.outUntil = until
 	case faultStoreSlow:
-		h.platform.slowUntil = until
+		h.store.slowUntil = until
 	case faultStoreLossy:
-		h.platform.lossyUntil = until
+		h.store.lossyUntil = until
 	case faultTwoViews:
 		for _, m := range h.nodes {
 			if m != owner && h.chance(0.5) {
-				m.blindUntil, m.blindTo = until, owner.id
+				m.hiddenUntil, m.hiddenNode = until, owner.id
 			}
 		}
 	case faultCutEntry:
 		n.cutUntil = until
 	case faultCutOwner:
 		owner.cutUntil = until
-	case faultAnswerLost:
-		h.answersLostUntil = until
+	case faultResponseLost:
+		h.responsesLostUntil = until
 	}
 }
 
-// kill ends a node's process; another run of it starts soon after.
+// kill ends a node's process, which is started again within restartMax.
 func (h *history) kill(n *node) {
 	if n.down {
 		return
--- a/lab/measure/claims/history.go
+++ b/lab/measure/claims/history.go
@@ -8,51 +8,55 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// mutation is a mechanism taken out, to see that the histories catch it.
+// mutation is a safety mechanism that is disabled to check that the histories detect it.
 type mutation int
 
 const (
 	mutateNothing      mutation = iota
-	mutateNoCompare             // the store arbitrates nothing
-	mutateLateGrant             // a grant is used after its caller was refused
-	mutateLostIsNotRun          // an answer that is lost frees the key
-	mutateFailOpen              // a refused claim is run all the same
-	mutateRetention             // claims are forgotten after a second
+	mutateNoCompare             // the store commits regardless of compares
+	mutateLateGrant             // a grant is used although its caller was refused before
+	mutateLostIsNotRun          // a lost answer of a target releases the key
+	mutateFailOpen              // a request is sent although its claim was refused
+	mutateRetention             // claims are deleted after a second
 )
 
-// history is one generated run: callers, nodes and targets, and two faults.
+// history is one generated run with callers, nodes, targets and two faults.
 type history struct {
 	*clock
-	platform  *platform
+	store     *faultyStore
 	nodes     []*node
 	keys      []core.KeyID
 	mutation  mutation
 	retention time.Duration
 
-	armed            []armed
-	hits             [points]int
-	answersLostUntil core.Instant
+	armed              []armed
+	hits               [pointCount]int
+	responsesLostUntil core.Instant
 
 	attempts int
-	runs     map[core.KeyID]int      // the targets' own count
-	ranBy    map[core.AttemptID]int  // by attempt
-	notRun   map[core.AttemptID]bool // attempts whose caller was told so
+	runs     map[core.KeyID]int      // runs at targets, by key
+	ranBy    map[core.AttemptID]int  // runs at targets, by attempt
+	notRun   map[core.AttemptID]bool // attempts whose caller was told that they weren't run
 	result   result
 }
 
-// result is what a history showed.
+// result holds the counts of one history or of several.
 type result struct {
-	Requests, Runs          int
-	Doubled                 int // keys run more than once
-	FalseNotRun             int // attempts run though their caller was told not
-	Clear                   int
-	LateSends               int // requests sent by a process that was frozen after it looked at its ticket
-	RanEarlier              int // requests told not run, sent after an earlier one with the key had run
-	Told                    [toldOutcomes]int
+	Requests, Runs int
+	Doubled        int // keys run more than once
+	FalseNotRun    int // attempts run although their caller was told that they weren't
+	Clear          int // refusals that state that no attempt with the key ran
+	// LateSends counts requests sent after the life of their attempt, by a process that was
+	// frozen after it checked the ticket.
+	LateSends int
+	// RanEarlier counts requests answered as not run that were sent after an earlier request
+	// with the key had run.
+	RanEarlier              int
+	Responses               [responseCount]int
 	StoreReads, StoreWrites int
 	Conflicts, Uncertain    int
-	KeysRun, KeysNever      int
-	LeftEnds                int // outcomes not recorded at the end
+	KeysRun, KeysNeverRun   int
+	UnrecordedEnds          int // outcomes not recorded at the end
 }
 
 // Bounds of a generated history.
@@ -66,22 +70,22 @@
 	twoNodesChance     = 0.3
 )
 
-// run generates and runs the history of a seed with two faults.
+// run generates and runs the history of a seed and stream with two faults.
 func run(seed, stream uint64, first, second fault, m mutation) result {
 	c := newClock(seed, stream)
 	h := &history{
-		clock: c, platform: newPlatform(c), mutation: m,
+		clock: c, store: newFaultyStore(c), mutation: m,
 		retention: core.DefaultConfig().Retention,
 		runs:      make(map[core.KeyID]int),
 		ranBy:     make(map[core.AttemptID]int),
 		notRun:    make(map[core.AttemptID]bool),
 	}
-	h.platform.noCompare = m == mutateNoCompare
+	h.store.noCompare = m == mutateNoCompare
 	if m == mutateRetention {
 		h.retention = time.Second
 	}
 	for i := range minNodes + c.rng.IntN(maxNodes-minNodes+1) {
-		n := &node{w: h, id: i}
+		n := &node{history: h, id: i}
 		n.boot()
 		h.nodes = append(h.nodes, n)
 	}
@@ -92,7 +96,7 @@
 		h.keys = append(h.keys, k)
 	}
 	for _, f := range []fault{first, second} {
-		h.armed = append(h.armed, armed{f, point(c.rng.IntN(int(points))), 1 + c.rng.IntN(maxNth)})
+		h.armed = append(h.armed, armed{f, point(c.rng.IntN(int(pointCount))), 1 + c.rng.IntN(maxNth)})
 	}
 	for _, k := range h.keys {
 		h.startCallers(k, first == faultTwoNodes || second == faultTwoNodes)
@@ -110,46 +114,47 @@
 	}
 }
 
-// call sends a request to a random node, and sends it again with the same key
-// until its caller knows that it was run, or gives up.
+// call sends a request to a random node, and sends it again with the same key until
+// the response is that it ran or the caller gives up: after the last try, or with a
+// chance of 0.5 if the outcome is unknown.
 func (h *history) call(k core.KeyID, tries int) {
 	h.result.Requests++
 	over := false
-	hear := func(t told) {
+	receive := func(r response) {
 		if over {
 			return
 		}
 		over = true
-		h.result.Told[t]++
-		if t == toldRun || tries == 1 || t == toldUnknown && h.chance(0.5) {
+		h.result.Responses[r]++
+		if r == responseRun || tries == 1 || r == responseUnknown && h.chance(0.5) {
 			return
 		}
 		h.after(h.between(10*time.Millisecond, pauseMax), func() { h.call(k, tries-1) })
 	}
-	h.after(h.between(500*time.Millisecond, pauseMax), func() { hear(toldNothing) })
+	h.after(h.between(500*time.Millisecond, pauseMax), func() { receive(responseNone) })
 	n := h.nodes[h.rng.IntN(len(h.nodes))]
 	if n.down {
-		h.after(time.Millisecond, func() { hear(toldNothing) })
+		h.after(time.Millisecond, func() { receive(responseNone) })
 		return
 	}
 	ranBefore := h.runs[k]
 	h.on(n, h.between(netDelayMin, netDelayMax), func() {
-		n.serve(k, ranBefore, func(t told) {
-			if h.now >= h.answersLostUntil {
-				h.after(h.between(netDelayMin, netDelayMax), func() { hear(t) })
+		n.serve(k, ranBefore, func(r response) {
+			if h.now >= h.responsesLostUntil {
+				h.after(h.between(netDelayMin, netDelayMax), func() { receive(r) })
 			}
 		})
 	})
 }
 
 // ran counts a run at a target.
-func (h *history) ran(a core.Ask) {
+func (h *history) countRun(a core.Ask) {
 	h.runs[a.Key]++
 	h.ranBy[a.Attempt]++
 }
 
-// refused notes that a caller is told that its request was not run.
-func (h *history) refused(c *call) {
+// recordNotRun records that a caller is told that its request wasn't run.
+func (h *history) recordNotRun(c *call) {
 	h.notRun[c.attempt.Ask.Attempt] = true
 	if c.ranBefore > 0 {
 		h.result.RanEarlier++
@@ -166,7 +171,7 @@
 		case n == 1:
 			r.KeysRun++
 		default:
-			r.KeysNever++
+			r.KeysNeverRun++
 		}
 	}
 	for a := range h.notRun {
@@ -174,9 +179,9 @@
 			r.FalseNotRun++
 		}
 	}
-	r.StoreReads, r.StoreWrites = h.platform.reads, h.platform.writes
+	r.StoreReads, r.StoreWrites = h.store.reads, h.store.writes
 	for _, n := range h.nodes {
-		r.LeftEnds += n.ends.Len()
+		r.UnrecordedEnds += n.ends.Len()
 		for _, o := range n.shards {
 			r.Conflicts += o.shard.Counts.Conflicts
 			r.Uncertain += o.shard.Counts.Uncertain
@@ -193,37 +198,37 @@
 	r.Clear += o.Clear
 	r.LateSends += o.LateSends
 	r.RanEarlier += o.RanEarlier
-	for i := range r.Told {
-		r.Told[i] += o.Told[i]
+	for i := range r.Responses {
+		r.Responses[i] += o.Responses[i]
 	}
 	r.StoreReads += o.StoreReads
 	r.StoreWrites += o.StoreWrites
 	r.Conflicts += o.Conflicts
 	r.Uncertain += o.Uncertain
 	r.KeysRun += o.KeysRun
-	r.KeysNever += o.KeysNever
-	r.LeftEnds += o.LeftEnds
+	r.KeysNeverRun += o.KeysNeverRun
+	r.UnrecordedEnds += o.UnrecordedEnds
 }
 
 // workers is the number of goroutines that run histories.
 const workers = 4
 
-// runAll runs count histories that go through all pairs of faults in turn,
-// and adds the results up by the first fault of the pair.
-func runAll(seed uint64, count int, m mutation) [faults]result {
-	var parts [workers][faults]result
+// runAll runs count histories, which take all pairs of faults in turn, and sums the
+// results by the first fault of the pair.
+func runAll(seed uint64, count int, m mutation) [faultCount]result {
+	var parts [workers][faultCount]result
 	var wg sync.WaitGroup
 	for w := range workers {
 		wg.Go(func() {
 			for i := w; i < count; i += workers {
-				pair := i % int(faults*faults)
-				first, second := fault(pair/int(faults)), fault(pair%int(faults))
+				pair := i % int(faultCount*faultCount)
+				first, second := fault(pair/int(faultCount)), fault(pair%int(faultCount))
 				parts[w][first].add(run(seed, uint64(i), first, second, m))
 			}
 		})
 	}
 	wg.Wait()
-	var out [faults]result
+	var out [faultCount]result
 	for _, part := range parts {
 		for f := range part {
 			out[f].add(part[f])
--- a/lab/measure/claims/history_test.go
+++ b/lab/measure/claims/history_test.go
@@ -6,27 +6,30 @@
 	"github.com/matryer/is"
 )
 
-func sum(results [faults]result) (all result) {
+func sum(results [faultCount]result) (all result) {
 	for _, r := range results {
 		all.add(r)
 	}
 	return all
 }
 
-// TestHistories goes through all pairs of faults at least ten times.
+// TestHistories runs every pair of faults ten times and checks that no key runs twice,
+// that no request runs whose caller was told that it didn't, and that every outcome is
+// recorded in the end.
 func TestHistories(t *testing.T) {
 	is := is.New(t)
-	all := sum(runAll(1, 10*int(faults*faults), mutateNothing))
+	all := sum(runAll(1, 10*int(faultCount*faultCount), mutateNothing))
 	is.Equal(all.Doubled, 0)
 	is.Equal(all.FalseNotRun, 0)
-	is.Equal(all.LeftEnds, 0) // every outcome is recorded once the faults are over
-	for told, n := range all.Told {
-		is.True(n > 0) // every kind of answer is met
-		t.Logf("told %d: %d", told, n)
+	is.Equal(all.UnrecordedEnds, 0) // every outcome is recorded once the faults are over
+	for kind, n := range all.Responses {
+		is.True(n > 0) // every kind of response occurs
+		t.Logf("response %d: %d", kind, n)
 	}
 	t.Logf("%+v", all)
 }
 
+// TestHistoriesCatchBrokenProtocols checks that histories detect each mutation.
 func TestHistoriesCatchBrokenProtocols(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -35,20 +38,21 @@
 	}{
 		{"no compare in the store", mutateNoCompare, func(r result) int { return r.Doubled }},
 		{"late grants are used", mutateLateGrant, func(r result) int { return r.FalseNotRun }},
-		{"a lost answer frees the key", mutateLostIsNotRun, func(r result) int { return r.Doubled }},
+		{"a lost answer releases the key", mutateLostIsNotRun, func(r result) int { return r.Doubled }},
 		{"refused claims are run", mutateFailOpen, func(r result) int { return r.Doubled }},
-		{"claims are forgotten too soon", mutateRetention, func(r result) int { return r.Doubled }},
+		{"claims are deleted too soon", mutateRetention, func(r result) int { return r.Doubled }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			n := tc.caught(sum(runAll(1, 3*int(faults*faults), tc.mutation)))
+			n := tc.caught(sum(runAll(1, 3*int(faultCount*faultCount), tc.mutation)))
 			t.Logf("caught %d", n)
 			is.True(n > 0)
 		})
 	}
 }
 
-func TestHistoriesFollowFromTheSeed(t *testing.T) {
+// TestSameSeedGivesSameHistories checks that histories depend on the seed only.
+func TestSameSeedGivesSameHistories(t *testing.T) {
 	is := is.New(t)
 	is.Equal(runAll(7, 50, mutateNothing), runAll(7, 50, mutateNothing))
 }
--- a/lab/measure/claims/node.go
+++ b/lab/measure/claims/node.go
@@ -9,56 +9,58 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// node is a node of the fleet: it runs the state machines of the claims
-// service as the service does, over the fake network and store.
+// node is a node of the fleet. It runs the state machines of the claims service as
+// the service does, over the simulated network and store.
 type node struct {
-	w           *history
+	history     *history
 	id          int
-	epoch       int // counts the runs of the process
+	epoch       int // number of the process's run; the holder's incarnation
 	down        bool
 	frozenUntil core.Instant
 	cutUntil    core.Instant // messages from and to other nodes are lost
-	// blindUntil is the time until which this node's view lacks node blindTo.
-	blindUntil core.Instant
-	blindTo    int
+	// hiddenUntil is the time until which this node's view lacks node hiddenNode.
+	hiddenUntil core.Instant
+	hiddenNode  int
 
-	shards map[int]*stepper
-	ends   *core.Ends
-	tells  int // failed calls with outcomes, to pick another owner
+	shards      map[int]*stepper
+	ends        *core.Ends
+	failedSends int // failed calls that sent outcomes; selects the owner to call next
 }
 
-// ownerIO is what a node's shard runs in.
-type ownerIO struct {
+// ownerEnv is the environment of a node's shard.
+type ownerEnv struct {
 	node  *node
 	shard *core.Shard
 }
 
-func (o ownerIO) time() core.Instant { return o.node.w.now }
+func (o ownerEnv) time() core.Instant { return o.node.history.now }
 
-// wake adds a timer; those of a shard that no request waits for don't keep
-// the history going.
-func (o ownerIO) wake(d time.Duration, f func()) {
-	o.quietly(func() { o.node.w.on(o.node, d, f) })
+// schedule adds a timer. Timers of a shard with no waiting request are background
+// events, which don't keep the history running.
+func (o ownerEnv) schedule(d time.Duration, f func()) {
+	o.inBackground(func() { o.node.history.on(o.node, d, f) })
 }
 
-func (o ownerIO) list(prefix string, done func(store.Page, error)) {
-	o.quietly(func() { o.node.w.platform.list(o.node, prefix, done) })
+func (o ownerEnv) list(prefix string, done func(store.Page, error)) {
+	o.inBackground(func() { o.node.history.store.list(o.node, prefix, done) })
 }
 
-func (o ownerIO) commit(t store.Txn, done func(int64, bool, error)) {
-	w := o.node.w
-	w.hit(pointCommit, o.node)
-	w.platform.commit(o.node, t, func(revision int64, ok bool, err error) {
-		w.hit(pointCommitted, o.node)
+func (o ownerEnv) commit(t store.Txn, done func(int64, bool, error)) {
+	h := o.node.history
+	h.reach(pointCommit, o.node)
+	h.store.commit(o.node, t, func(revision int64, ok bool, err error) {
+		h.reach(pointCommitted, o.node)
 		done(revision, ok, err)
 	})
 }
 
-func (o ownerIO) quietly(f func()) {
+// inBackground calls f; the events that f adds are background events if no request
+// waits for the shard.
+func (o ownerEnv) inBackground(f func()) {
 	_, waiting := o.shard.Len()
-	o.node.w.background = waiting == 0
+	o.node.history.background = waiting == 0
 	f()
-	o.node.w.background = false
+	o.node.history.background = false
 }
 
 func (n *node) name() string { return "node-" + strconv.Itoa(n.id) }
@@ -71,9 +73,9 @@
 
 func (n *node) holder() core.Holder { return core.Holder{Node: n.name(), Incarnation: int64(n.epoch)} }
 
-// alive is the node's view of a claim's holder.
+// alive reports whether a claim's holder is alive in the node's view.
 func (n *node) alive(h core.Holder) bool {
-	for _, m := range n.w.nodes {
+	for _, m := range n.history.nodes {
 		if m.name() == h.Node {
 			return n.sees(m) && int64(m.epoch) == h.Incarnation
 		}
@@ -82,7 +84,7 @@
 }
 
 func (n *node) sees(m *node) bool {
-	if n.w.now < n.blindUntil && m.id == n.blindTo {
+	if n.history.now < n.hiddenUntil && m.id == n.hiddenNode {
 		return false
 	}
 	return !m.down
@@ -92,7 +94,7 @@
 func (n *node) owner(shard, tries int) *node {
 	var seen []*node
 	var hashes []uint64
-	for _, m := range n.w.nodes {
+	for _, m := range n.history.nodes {
 		if n.sees(m) {
 			seen = append(seen, m)
 			hashes = append(hashes, routing.Hash(m.name()))
@@ -107,16 +109,16 @@
 	if !ok {
 		cfg := core.DefaultConfig()
 		cfg.GroupSegments = smallGroup
-		cfg.Retention = n.w.retention
+		cfg.Retention = n.history.retention
 		s := core.NewShard(number, cfg, n.alive)
-		o = newStepper(ownerIO{n, s}, s)
+		o = newStepper(ownerEnv{n, s}, s)
 		n.shards[number] = o
 	}
 	o.shard.SetDuty(n.owner(number, 0) == n)
 	return o
 }
 
-// smallGroup closes groups of transactions often.
+// smallGroup makes shards close groups of transactions often.
 const smallGroup = 3
 
 // Times of a call between nodes.
@@ -127,36 +129,38 @@
 	endWait     = 2 * time.Second
 )
 
-// send delivers f in the process of m; false means that m refused the
-// connection.
+// send calls f in the process of m after the network delay, unless one of the nodes
+// is cut off. It returns false if m refuses the connection because it is down.
 func (n *node) send(m *node, f func()) bool {
-	w := n.w
+	h := n.history
 	if m.down {
 		return false
 	}
-	if m != n && (w.now < n.cutUntil || w.now < m.cutUntil) {
-		return true // lost without a trace
+	if m != n && (h.now < n.cutUntil || h.now < m.cutUntil) {
+		return true // lost; the sender can't detect it
 	}
-	w.on(m, w.between(netDelayMin, netDelayMax), f)
+	h.on(m, h.between(netDelayMin, netDelayMax), f)
 	return true
 }
 
-// pumpEnds passes due outcomes to their owners.
-func (n *node) pumpEnds() {
+// sendDueEnds sends the outcomes that are due to their owners.
+func (n *node) sendDueEnds() {
 	for {
-		shard, batch, ok := n.ends.Next(n.w.now)
+		shard, batch, ok := n.ends.Next(n.history.now)
 		if !ok {
 			break
 		}
-		n.tell(shard, batch)
+		n.sendEnds(shard, batch)
 	}
 	if at := n.ends.WakeAt(); at != core.Forever {
-		n.w.on(n, max(at-n.w.now, time.Millisecond), n.pumpEnds)
+		n.history.on(n, max(at-n.history.now, time.Millisecond), n.sendDueEnds)
 	}
 }
 
-func (n *node) tell(shard int, batch []core.End) {
-	w := n.w
+// sendEnds sends a batch of outcomes to the owner of a shard. The batch succeeds if
+// the owner records all of them within endTimeout.
+func (n *node) sendEnds(shard int, batch []core.End) {
+	h := n.history
 	over := false
 	finish := func(ok bool) {
 		if over {
@@ -164,13 +168,13 @@
 		}
 		over = true
 		if !ok {
-			n.tells++
+			n.failedSends++
 		}
-		n.ends.Sent(w.now, shard, ok, w.rng.Float64())
-		n.pumpEnds()
+		n.ends.Sent(h.now, shard, ok, h.rng.Float64())
+		n.sendDueEnds()
 	}
-	w.on(n, endTimeout, func() { finish(false) })
-	m := n.owner(shard, n.tells)
+	h.on(n, endTimeout, func() { finish(false) })
+	m := n.owner(shard, n.failedSends)
 	sent := n.send(m, func() {
 		left, all := len(batch), true
 		for _, e := range batch {
@@ -184,6 +188,6 @@
 		}
 	})
 	if !sent {
-		w.on(n, netDelayMin, func() { finish(false) })
+		h.on(n, netDelayMin, func() { finish(false) })
 	}
 }
--- a/lab/measure/claims/pair.go
+++ b/lab/measure/claims/pair.go
@@ -2,27 +2,27 @@
 
 import "github.com/knapweedgw/knapweedgw/lab/measure"
 
-// Assumptions of the arithmetic for claims in the memory of a pair of nodes.
-// The letter gives the changes of VMs a day at 370 nodes.
+// Assumptions of the calculated costs of claims held in the memory of a pair of nodes.
+// The brief of the product gives the changes of VMs per day with 370 nodes.
 const (
-	changesPerDay    = 100 + 310 // VMs that fail, and are restarted or replaced
+	changesPerDay    = 100 + 310 // VMs that fail, and VMs that are restarted or replaced
 	changesNodes     = 370
-	viewLagSeconds   = 5.0  // during which nodes hold different lists
-	duplicateShare   = 0.01 // of the requests, that come again meanwhile
-	messagesPerClaim = 8    // ask, copy, two replies; the same for the end
+	viewLagSeconds   = 5.0  // time for which nodes have different views after a change
+	duplicateShare   = 0.01 // of the requests that are repeated during that time
+	messagesPerClaim = 8    // ask, copy and two replies; as many for the outcome
 	entryBytes       = 150  // of a claim in memory
 	retentionSeconds = 900
 )
 
-// pairRow tells what claims in the memory of a pair of nodes would cost: two
-// nodes in different failure domains, picked for each key by rendezvous.
+// pairRow is the calculated cost of claims held in the memory of a pair of nodes: two
+// nodes in different failure domains, selected for each key by rendezvous hashing.
 type pairRow struct{ load load }
 
 // Fields implements measure.Row.
 func (r pairRow) Fields() []measure.Field {
 	nodes, claims := float64(r.load.nodes), r.load.claimsPerS()
 	changes := changesPerDay * nodes / changesNodes
-	moved := 2 / nodes // share of the keys whose pair a change touches
+	moved := 2 / nodes // share of the keys whose pair changes with one node
 	return []measure.Field{
 		{Name: "way", Value: "pair memory"},
 		{Name: "nodes", Value: r.load.nodes},
--- a/lab/measure/claims/section.go
+++ b/lab/measure/claims/section.go
@@ -8,7 +8,7 @@
 	"github.com/knapweedgw/knapweedgw/lab/measure"
 )
 
-// Section is the measurement of the claims service.
+// Section is the measurement "claims".
 type Section struct{}
 
 var _ measure.Section = Section{}
@@ -41,11 +41,11 @@
 		historyCount, all.Doubled, all.FalseNotRun, writes), nil
 }
 
-// target is the size that the design is for.
+// target is the load that the product is designed for.
 var target = load{nodes: 370, share: 0.1}
 
-// reportCosts adds a row for each way, fleet and share, and returns the
-// store's writes a second at the target by grouped shards.
+// reportCosts adds a row for each way of recording claims, fleet size and share, and
+// returns the store's writes per second with grouped shards at the target load.
 func reportCosts(ctx context.Context, r *measure.Reporter, seed uint64) (writes float64, err error) {
 	for _, nodes := range []int{8, 53, 370} {
 		for _, share := range []float64{0.01, 0.1, 0.3} {
@@ -71,10 +71,11 @@
 	return writes, r.Add(sectionName, costRow{"grouped, two views", split, grouped(seed, split)})
 }
 
+// reportOutage adds a row for each of three durations of a store outage.
 func reportOutage(r *measure.Reporter, seed uint64) error {
 	for _, d := range []time.Duration{time.Second, 10 * time.Second, 25 * time.Second} {
 		l := target
-		l.outFrom, l.outUntil = costWarmUp, costWarmUp+d
+		l.outageFrom, l.outageUntil = costWarmUp, costWarmUp+d
 		if err := r.Add(sectionName, outageRow{l, grouped(seed, l)}); err != nil {
 			return err
 		}
@@ -86,7 +87,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// historyRow tells what the histories of one first fault showed.
+// historyRow is the sum of the histories with one first fault.
 type historyRow struct {
 	fault fault
 	r     result
@@ -98,22 +99,22 @@
 		{Name: "fault", Value: faultNames[h.fault]},
 		{Name: "requests", Value: h.r.Requests},
 		{Name: "keys_run", Value: h.r.KeysRun},
-		{Name: "keys_never_run", Value: h.r.KeysNever},
+		{Name: "keys_never_run", Value: h.r.KeysNeverRun},
 		{Name: "doubled", Value: h.r.Doubled},
 		{Name: "false_not_run", Value: h.r.FalseNotRun},
 		{Name: "ran_earlier", Value: h.r.RanEarlier},
 		{Name: "late_sends", Value: h.r.LateSends},
-		{Name: "told_run", Value: h.r.Told[toldRun]},
-		{Name: "told_not_run", Value: h.r.Told[toldNotRun]},
-		{Name: "told_unknown", Value: h.r.Told[toldUnknown]},
-		{Name: "told_in_progress", Value: h.r.Told[toldInProgress]},
-		{Name: "no_answer", Value: h.r.Told[toldNothing]},
+		{Name: "told_run", Value: h.r.Responses[responseRun]},
+		{Name: "told_not_run", Value: h.r.Responses[responseNotRun]},
+		{Name: "told_unknown", Value: h.r.Responses[responseUnknown]},
+		{Name: "told_in_progress", Value: h.r.Responses[responseInProgress]},
+		{Name: "no_answer", Value: h.r.Responses[responseNone]},
 		{Name: "conflicts", Value: h.r.Conflicts},
 		{Name: "uncertain", Value: h.r.Uncertain},
 	}
 }
 
-// costRow tells what one way of recording claims costs.
+// costRow is the cost of one way of recording claims.
 type costRow struct {
 	way  string
 	load load
@@ -137,12 +138,12 @@
 		{Name: "value_max_bytes", Value: r.c.maxValue},
 		{Name: "store_in_KB_per_s", Value: perSecond(r.c.sentBytes) / 1000},
 		{Name: "trims_per_s", Value: perSecond(r.c.trims)},
-		{Name: "store_keys", Value: r.c.keysKept},
-		{Name: "store_MB_at_15m", Value: float64(r.c.bytesKept) * float64(retention/costRetention) / 1e6},
+		{Name: "store_keys", Value: r.c.storeKeys},
+		{Name: "store_MB_at_15m", Value: float64(r.c.storeBytes) * float64(retention/costRetention) / 1e6},
 	}
 }
 
-// outageRow tells what an outage of the store does to claims.
+// outageRow is the effect of a store outage on claims.
 type outageRow struct {
 	load load
 	c    cost
@@ -151,7 +152,7 @@
 // Fields implements measure.Row.
 func (r outageRow) Fields() []measure.Field {
 	return []measure.Field{
-		{Name: "outage_s", Value: (r.load.outUntil - r.load.outFrom).Seconds()},
+		{Name: "outage_s", Value: (r.load.outageUntil - r.load.outageFrom).Seconds()},
 		{Name: "refused", Value: len(r.c.refusals)},
 		{Name: "refusal_p50_ms", Value: millis(measure.Quantile(r.c.refusals, 0.5))},
 		{Name: "refusal_p99_ms", Value: millis(measure.Quantile(r.c.refusals, 0.99))},
--- a/lab/measure/claims/stepper.go
+++ b/lab/measure/claims/stepper.go
@@ -7,70 +7,71 @@
 	"github.com/knapweedgw/knapweedgw/store"
 )
 
-// surroundings are what a stepper takes its steps in.
-type surroundings interface {
+// environment provides the time, timers and store calls of a stepper.
+type environment interface {
 	time() core.Instant
-	wake(d time.Duration, f func())
+	schedule(d time.Duration, f func())
 	list(prefix string, done func(store.Page, error))
 	commit(t store.Txn, done func(int64, bool, error))
 }
 
-// stepper passes requests to a core.Shard and takes its steps.
+// stepper passes requests to a core.Shard and executes the steps that it returns.
 type stepper struct {
-	in    surroundings
-	shard *core.Shard
-	waits map[core.Ref]func(core.Reply)
-	refs  core.Ref
-	busy  bool // a call to the store has no result yet
-	wakes int  // invalidates older timers
+	env       environment
+	shard     *core.Shard
+	callbacks map[core.Ref]func(core.Reply)
+	lastRef   core.Ref
+	busy      bool // a call to the store has no result yet
+	timers    int  // number of timers set; only the latest one is valid
 }
 
-func newStepper(in surroundings, s *core.Shard) *stepper {
-	return &stepper{in: in, shard: s, waits: make(map[core.Ref]func(core.Reply))}
+func newStepper(env environment, s *core.Shard) *stepper {
+	return &stepper{env: env, shard: s, callbacks: make(map[core.Ref]func(core.Reply))}
 }
 
 func (s *stepper) ask(a core.Ask, wait time.Duration, done func(core.Reply)) {
-	s.refs++
-	s.waits[s.refs] = done
-	now := s.in.time()
-	s.shard.Ask(now, s.refs, a, now+wait)
-	s.in.wake(wait, func() {
-		s.shard.Expire(s.in.time())
+	s.lastRef++
+	s.callbacks[s.lastRef] = done
+	now := s.env.time()
+	s.shard.Ask(now, s.lastRef, a, now+wait)
+	s.env.schedule(wait, func() {
+		s.shard.Expire(s.env.time())
 		s.deliver()
 	})
 	s.pump()
 }
 
 func (s *stepper) end(e core.End, wait time.Duration, done func(core.Reply)) {
-	s.refs++
-	s.waits[s.refs] = done
-	now := s.in.time()
-	s.shard.End(now, s.refs, e, now+wait)
+	s.lastRef++
+	s.callbacks[s.lastRef] = done
+	now := s.env.time()
+	s.shard.End(now, s.lastRef, e, now+wait)
 	s.pump()
 }
 
-// pump takes steps until the shard waits for the store or for time.
+// pump executes the shard's next step, unless a call to the store is in progress. A
+// store call's result, or the timer of a wait, pumps again.
 func (s *stepper) pump() {
 	if s.busy {
 		return
 	}
-	step := s.shard.Next(s.in.time())
+	step := s.shard.Next(s.env.time())
 	s.deliver()
 	switch step.Kind {
 	case core.StepWait:
 		s.sleep(step.Until)
 	case core.StepRead:
 		s.busy = true
-		s.in.list(step.Prefix, func(page store.Page, err error) {
+		s.env.list(step.Prefix, func(page store.Page, err error) {
 			s.busy = false
-			s.shard.Loaded(s.in.time(), page, err)
+			s.shard.Loaded(s.env.time(), page, err)
 			s.pump()
 		})
 	case core.StepCommit:
 		s.busy = true
-		s.in.commit(step.Txn, func(revision int64, ok bool, err error) {
+		s.env.commit(step.Txn, func(revision int64, ok bool, err error) {
 			s.busy = false
-			s.shard.Committed(s.in.time(), revision, ok, err)
+			s.shard.Committed(s.env.time(), revision, ok, err)
 			s.pump()
 		})
 	}
@@ -78,8 +79,8 @@
 
 func (s *stepper) deliver() {
 	for _, a := range s.shard.Replies() {
-		done := s.waits[a.Ref]
-		delete(s.waits, a.Ref)
+		done := s.callbacks[a.Ref]
+		delete(s.callbacks, a.Ref)
 		done(a.Reply)
 	}
 }
@@ -88,10 +89,10 @@
 	if until == core.Forever {
 		return
 	}
-	s.wakes++
-	wake := s.wakes
-	s.in.wake(until-s.in.time(), func() {
-		if wake == s.wakes {
+	s.timers++
+	generation := s.timers
+	s.env.schedule(until-s.env.time(), func() {
+		if generation == s.timers {
 			s.pump()
 		}
 	})
--- a/lab/measure/claims/store.go
+++ b/lab/measure/claims/store.go
@@ -8,7 +8,8 @@
 	"github.com/knapweedgw/knapweedgw/store/memory"
 )
 
-// Times of a call to the store, each way.
+// Delays of a call to the store, one way, its timeout, and the share of calls that a
+// lossy store loses.
 const (
 	storeDelayMin  = 500 * time.Microsecond
 	storeDelayMax  = 3 * time.Millisecond
@@ -17,34 +18,34 @@
 	lossPercentage = 0.6
 )
 
-// platform is the store with the time its calls take and the faults that
-// befall them.
-type platform struct {
+// faultyStore is a memory store whose calls take time and can fail.
+type faultyStore struct {
 	*clock
 	store *memory.Store
-	// The times until which the store refuses, is slow, or loses answers.
+	// The times until which the store refuses calls, is slow, or loses calls and answers.
 	outUntil, slowUntil, lossyUntil time.Duration
-	noCompare                       bool // a mutation: the store arbitrates nothing
+	noCompare                       bool // for mutateNoCompare: commits ignore compares
 
 	reads, writes int
 }
 
-func newPlatform(c *clock) *platform {
-	return &platform{clock: c, store: memory.New(func() time.Time { return time.Time{} })}
+func newFaultyStore(c *clock) *faultyStore {
+	return &faultyStore{clock: c, store: memory.New(func() time.Time { return time.Time{} })}
 }
 
-// delay is the time that a call takes one way.
-func (p *platform) delay() time.Duration {
+// delay returns the time that a call takes one way.
+func (p *faultyStore) delay() time.Duration {
 	if p.now < p.slowUntil {
 		return p.between(storeDelayMin, slowDelayMax)
 	}
 	return p.between(storeDelayMin, storeDelayMax)
 }
 
-// call runs effect at the store and passes its result to done in the node's
-// process, or an error. Without a result in time the node gives up, and the
-// effect may still come.
-func (p *platform) call(n *node, effect func() func(), failed func(error)) {
+// call runs effect at the store, then the function that effect returns in the node's
+// process. If the call fails, it calls failed there instead: with store.ErrUnavailable
+// during an outage, with store.ErrUncertain after storeTimeout, in which case the
+// effect may still take place.
+func (p *faultyStore) call(n *node, effect func() func(), failed func(error)) {
 	var over bool
 	finish := func(f func()) func() {
 		return func() {
@@ -71,7 +72,7 @@
 	})
 }
 
-func (p *platform) list(n *node, prefix string, done func(store.Page, error)) {
+func (p *faultyStore) list(n *node, prefix string, done func(store.Page, error)) {
 	p.reads++
 	p.call(n, func() func() {
 		page, err := p.store.List(context.Background(), prefix)
@@ -79,7 +80,7 @@
 	}, func(err error) { done(store.Page{}, err) })
 }
 
-func (p *platform) commit(n *node, t store.Txn, done func(int64, bool, error)) {
+func (p *faultyStore) commit(n *node, t store.Txn, done func(int64, bool, error)) {
 	p.writes++
 	if p.noCompare {
 		t.Compares = nil
--- a/lab/measure/claims/takeover_test.go
+++ b/lab/measure/claims/takeover_test.go
@@ -16,8 +16,8 @@
 
 func holderAlive(core.Holder) bool { return true }
 
-// take takes the steps of a shard until it waits.
-func take(b *testing.B, s *core.Shard, now core.Instant, st store.Store) {
+// runSteps executes the steps of a shard until it waits.
+func runSteps(b *testing.B, s *core.Shard, now core.Instant, st store.Store) {
 	for {
 		step := s.Next(now)
 		s.Replies()
@@ -37,8 +37,9 @@
 	}
 }
 
-// fill writes a shard's log of the whole retention, each claim ended later.
-func fill(b *testing.B, st store.Store, perSecond int) core.Instant {
+// fillLog writes a shard's log for the whole retention. Each claim ends 3 seconds' worth
+// of claims after it was made.
+func fillLog(b *testing.B, st store.Store, perSecond int) core.Instant {
 	const commitsPerSecond = 7
 	cfg := core.DefaultConfig()
 	s := core.NewShard(0, cfg, holderAlive)
@@ -60,27 +61,27 @@
 				s.End(now, core.Ref(2*n+1), core.End{Key: e.Key, Attempt: e.Attempt, Outcome: core.Ran}, core.Forever)
 			}
 		}
-		take(b, s, now, st)
+		runSteps(b, s, now, st)
 		now += time.Second / time.Duration(min(perSecond, commitsPerSecond))
-		take(b, s, now, st)
+		runSteps(b, s, now, st)
 	}
 	return now
 }
 
-// BenchmarkTakeover reads a shard's whole log as a new owner does.
+// BenchmarkTakeover measures how long a new owner takes to read a shard's whole log.
 func BenchmarkTakeover(b *testing.B) {
 	for _, claimsPerS := range []int{46, 460, 1380} {
 		b.Run(fmt.Sprintf("claims_per_s=%d", claimsPerS), func(b *testing.B) {
 			p := platform.New()
 			server := httptest.NewServer(p.Handler())
 			defer server.Close()
-			now := fill(b, p.Store(), claimsPerS/core.Shards)
+			now := fillLog(b, p.Store(), claimsPerS/core.Shards)
 			client := etcd.New([]string{server.URL}, etcd.DefaultTimeout)
 			var keys int
 			for b.Loop() {
 				s := core.NewShard(0, core.DefaultConfig(), holderAlive)
 				s.Ask(now, 1, core.Ask{Key: core.KeyID{1}}, core.Forever)
-				take(b, s, now, client)
+				runSteps(b, s, now, client)
 				keys, _ = s.Len()
 			}
 			b.ReportMetric(float64(keys), "keys")
--- a/lab/measure/claims/traffic_test.go
+++ b/lab/measure/claims/traffic_test.go
@@ -22,7 +22,7 @@
 	"github.com/knapweedgw/knapweedgw/store/etcd"
 )
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -50,6 +50,7 @@
 	return n, err
 }
 
+// peerBytes returns the sum of a node's knapweedgw_peer_bytes_total counters.
 func peerBytes(b *testing.B, reg *prometheus.Registry) (sum float64) {
 	families, err := reg.Gather()
 	if err != nil {
@@ -66,8 +67,8 @@
 	return sum
 }
 
-// BenchmarkOwnerTraffic sends 460 claims a second from one node to another
-// that owns all shards, and reports the bytes of one shard's share, both ways.
+// BenchmarkOwnerTraffic sends 46, 460 or 1380 claims a second from one node to another
+// that owns all shards, and reports the traffic of one shard in both directions.
 func BenchmarkOwnerTraffic(b *testing.B) {
 	for _, claimsPerS := range []int{46, 460, 1380} {
 		b.Run(fmt.Sprintf("claims_per_s=%d", claimsPerS), func(b *testing.B) { ownerTraffic(b, claimsPerS) })
@@ -85,7 +86,7 @@
 	defer cancel()
 	owner := membership.Node{ID: "owner-0123", PeerAddr: freeAddr(b)}
 	view := fixedView{&membership.View{Nodes: []membership.Node{owner}}}
-	registry := prometheus.NewRegistry() // of the owner
+	registry := prometheus.NewRegistry() // metrics of the owner
 	start := func(id, addr string, reg *prometheus.Registry) *claims.Service {
 		l := log.New(io.Discard)
 		hub := peer.NewHub(addr, l, reg)
--- a/lab/measure/claims/wire_test.go
+++ b/lab/measure/claims/wire_test.go
@@ -37,8 +37,8 @@
 	return ln.Addr().String()
 }
 
-// startFleet runs claims services over real connections and the platform's
-// stand-in.
+// startFleet starts claims services that use real connections to each other and to
+// the simulated platform.
 func startFleet(t *testing.T, p *platform.Platform, size int) []*claims.Service {
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
@@ -69,14 +69,14 @@
 	return services
 }
 
-// TestServicesOverTheWire sends each key from several callers at all nodes
-// until it was run, while the platform fails. The runs are the witness.
+// TestServicesOverTheWire sends each key from several callers to all nodes until it has
+// run, while the platform injects faults, and checks that each key runs exactly once.
 func TestServicesOverTheWire(t *testing.T) {
 	const keys, callers, nodes = 40, 6, 3
 	for _, tc := range []struct {
 		name   string
 		faults platform.Faults
-		outage bool // the store goes out once, and comes back
+		outage bool // the store has one outage, which ends during the test
 	}{
 		{"healthy", platform.Faults{}, false},
 		{"every second answer is lost", platform.Faults{LoseEvery: 2}, false},
--- a/lab/measure/claims/world.go
+++ b/lab/measure/claims/world.go
@@ -1,6 +1,6 @@
-// Package claims measures the claims service: generated fault histories over
-// its real state machines, and what the ways of recording claims cost. All
-// runs on virtual time in one goroutine, and follows from the seed.
+// Package claims measures the claims service with generated fault histories of its
+// real state machines, and compares the costs of ways to record claims. Each run uses
+// virtual time and one goroutine, and its result depends only on the seed.
 package claims
 
 import (
@@ -11,18 +11,19 @@
 	"github.com/knapweedgw/knapweedgw/claims/core"
 )
 
-// event is a function to call at a virtual time, on behalf of a run of a
-// node's process if node is set.
+// event is a function to call at a virtual time. If node is set, it is called only
+// while the process of that node is still in the run numbered epoch.
 type event struct {
 	at    core.Instant
 	seq   int
 	node  *node
 	epoch int
 	f     func()
-	// background events don't keep the run going.
+	// background events don't keep the clock running.
 	background bool
 }
 
+// eventQueue is a heap of events, earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -45,7 +46,7 @@
 	events eventQueue
 	seq    int
 	live   int // events that are not in the background
-	// background is given to the events that are added.
+	// background is the value of that field in events that are added.
 	background bool
 }
 
@@ -56,8 +57,8 @@
 // after calls f after d.
 func (c *clock) after(d time.Duration, f func()) { c.push(event{at: c.now + d, f: f}) }
 
-// on calls f after d in the node's process: not if it is killed before then,
-// and late if it is frozen.
+// on calls f after d in the node's process. It doesn't call f if the process is killed
+// before, and calls it late if the process is frozen.
 func (c *clock) on(n *node, d time.Duration, f func()) {
 	c.push(event{at: c.now + d, node: n, epoch: n.epoch, f: f})
 }
@@ -72,8 +73,8 @@
 	heap.Push(&c.events, e)
 }
 
-// run calls events until none is left but those in the background, or the
-// time is over.
+// run calls events until only background events are left or the next one is after
+// until.
 func (c *clock) run(until core.Instant) {
 	for c.live > 0 {
 		e := heap.Pop(&c.events).(event)
@@ -83,7 +84,7 @@
 		c.now = e.at
 		if e.node != nil && e.epoch == e.node.epoch && e.node.frozenUntil > c.now {
 			e.at = e.node.frozenUntil
-			heap.Push(&c.events, e) // in its old order
+			heap.Push(&c.events, e) // with the same seq
 			continue
 		}
 		if !e.background {
