--- a/lab/standin/notice_test.go
+++ b/lab/standin/notice_test.go
@@ -125,7 +125,7 @@
 		}
 		s.Eventually("all have announced it", func() bool {
 			s.Nodes[0].Do(Request{Path: SafePath})
-			return strings.Count(s.Nodes[0].Logs.String(), "says that it leaves") == len(s.Plain)
+			return strings.Count(s.Nodes[0].Logs.String(), "target announced its shutdown") == len(s.Plain)
 		})
 		arrived := len(s.Journal.Arrivals())
 		a := s.Nodes[0].Do(Request{Path: SafePath})
