--- a/lab/measure/fanout/exchange.go
+++ b/lab/measure/fanout/exchange.go
@@ -170,7 +170,7 @@
 }
 
 // announceTo announces a head to a node. It retries without an answer, up to
-// follower.HintTries attempts and while the head is still the newest.
+// follower.MaxHintAttempts attempts and while the head is still the newest.
 func (e *exchange) announceTo(n *node, m membership.Node, h int64, try int) {
 	e.s.call(n, m, e.s.headBytes(h), func(o *node) (int, func()) {
 		e.confirm(o, n, h)
--- a/notice/retryafter.go
+++ b/notice/retryafter.go
@@ -41,7 +41,7 @@
 	return Notice{RetryAfter: min(max(at.Sub(now), 0), maxCooldown)}
 }
 
-// parseSeconds parses a number of seconds. A number out of range gives maxRest.
+// parseSeconds parses a number of seconds. A number out of range gives maxCooldown.
 func parseSeconds(value string) time.Duration {
 	s, err := strconv.ParseFloat(value, 64)
 	if err != nil || s >= maxCooldown.Seconds() {
